--- a/notchhoist/flows/boards/__init__.py
+++ b/notchhoist/flows/boards/__init__.py
@@ -1,4 +1,4 @@
-"""The blackboard of each role: what its controllers read and write.
+"""Blackboards: the state that the controllers of each role read and write.
 
 ``balancer_board`` and ``agent_board`` do not import each other.
 """
--- a/notchhoist/flows/boards/agent_board.py
+++ b/notchhoist/flows/boards/agent_board.py
@@ -1,4 +1,4 @@
-"""The blackboard of an agent."""
+"""The blackboard of an agent: the state that its controllers share."""
 
 from msgspec import Struct, field
 
@@ -11,36 +11,39 @@
 
 
 class AgentBoard(Struct, eq=False):
-    """What an agent knows.
+    """The state of an agent.
 
     Attributes:
         service: Service of the backend server.
         tag: Tag of that service.
         started_at: When the agent started, seconds.
-        sees_all: It started with the whole system: every flow of its server
-            has begun before its eyes.
-        flows: Flows of the backend server.
-        slots: Requests that the backend server works on at once; 0 while
-            nobody has told.
+        sees_all: The agent started together with the whole system, so it has
+            seen every flow of its server begin.
+        flows: Flows of the backend server, by key.
+        slots: Requests that the backend server works on at once; 0 if no
+            balancer has reported it yet.
         active: Flows whose request holds a slot.
-        waiting: Requests that wait for a slot, by flow.
-        promised: Accepted flows whose first request is about to come and takes
-            a slot, and until when it is expected, seconds.
+        waiting: Requests that are queued for a slot, by flow.
+        promised: Slot reservations for the first requests of accepted flows: by
+            flow, when the reservation expires, seconds.
         pace_s: Smoothed service time, seconds; 0 if unknown.
-        backend_gone: The backend server does not listen any more.
-        refused_since: Since when it has accepted no connection, seconds, or
-            None.
-        check_due: When to look at a silent backend server, or ``inf``.
-        checking: A look is under way.
-        checked_at: When the last look ended, seconds.
-        state: What is published of the backend server, as last told, or None.
+        backend_gone: The backend server no longer listens.
+        refused_since: Since when the backend server has accepted no connection,
+            seconds, or None.
+        check_due: When the next liveness check of a silent backend server is
+            due, seconds, or ``inf``.
+        checking: A liveness check is in progress.
+        checked_at: When the last liveness check ended, seconds.
+        state: Published state of the backend server, as last reported by a
+            balancer, or None.
         evacuated_since: Since when its zone is evacuated, seconds, or None.
-        leaving_since: Since when it is known here that the backend server
-            leaves, seconds, or None.
-        cold_until: When it is warm, as told, seconds.
+        leaving_since: Since when this agent knows that the backend server
+            drains, seconds, or None.
+        cold_until: When the slow start of the backend server ends, as last
+            reported, seconds.
         balancers: When each balancer was last heard, by host.
         records: Counters and decisions.
-        outbox: What is to be done.
+        outbox: Effects to perform.
         stopping: A planned stop has begun.
         uses: Which mechanisms are in use.
     """
@@ -73,17 +76,23 @@
     def observe_wait(
         self, request: HeldRequest, outcome: str, now: float
     ) -> None:
-        """Counts how long a request has waited for a slot."""
+        """Records how long a request has waited for a slot.
+
+        Args:
+            request: The request.
+            outcome: Label of the measured time.
+            now: Runtime clock, seconds.
+        """
         waited_s = now - request.arrived_at
         self.records.observe(Timing.WAITING, self.service, outcome, waited_s)
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the backend server has announced that it leaves."""
+        """Whether the backend server has announced that it drains."""
         return self.state is not None and self.state.draining
 
     def resting(self) -> list[tuple[bytes, HeldFlow]]:
-        """Returns the open flows whose packets have all gone to the server."""
+        """Returns the idle flows, by key; see ``rests``."""
         return [
             (flow, held)
             for flow, held in self.flows.items()
@@ -91,7 +100,12 @@
         ]
 
     def rests(self, flow: bytes, held: HeldFlow) -> bool:
-        """Tells whether the server may get an open flow's last packet again."""
+        """Tells whether a flow is idle.
+
+        The server has shown it open and has got all its packets. It may be
+        probed by a copy of its last packet, as that neither closes nor resets
+        it.
+        """
         sample = held.sample
         if sample is None or sample.closes or sample.resets:
             return False
--- a/notchhoist/flows/boards/balancer_board.py
+++ b/notchhoist/flows/boards/balancer_board.py
@@ -1,4 +1,4 @@
-"""The blackboard of a balancer."""
+"""The blackboard of a balancer: the state that its controllers share."""
 
 import collections
 
@@ -13,25 +13,26 @@
 from notchhoist.flows.model.segments import Segment
 from notchhoist.flows.model.view import FleetView
 
-ANSWER_S = 0.1
-"""An agent's answer is here within this time, seconds; 30 round trips."""
+AGENT_ANSWER_MAX_S = 0.1
+"""Longest time until an agent's answer arrives, seconds; 30 round trips."""
 
 
 class Placement(Struct, eq=False):
-    """Where a balancer believes a flow to be.
+    """The backend server that a balancer forwards a flow to.
 
     Attributes:
         server: The backend server.
-        accepted: Its server has accepted, or the flow was found there.
+        accepted: The server has accepted the flow, or the flow was found there.
         last_at: When the flow was last used, seconds.
-        last: The caller's newest packet, to reset the flow by.
-        closing: The caller has ended it.
-        asked_since: When the caller began to wait for its first request, or
-            None once that has gone to the server.
-        used_since: When the first packet after the opening went there, seconds;
-            long ago for a flow that was found there.
-        inferred: The acceptance was concluded from the caller's packet; no
-            agent has told of it.
+        last: The caller's newest packet; a reset of the flow is derived from
+            it.
+        closing: The caller has closed the flow.
+        asked_since: When the caller began to wait for its first request,
+            seconds, or None once that request was forwarded.
+        used_since: When the first packet after the opening one was forwarded,
+            seconds; ``-inf`` for a flow that was found there.
+        inferred: The acceptance was inferred from the caller's packet; no agent
+            has reported it.
     """
 
     server: Server
@@ -45,12 +46,14 @@
 
     @property
     def is_shown(self) -> bool:
-        """Whether the agent has been heard since it got a packet of the flow.
+        """Whether an answer of the agent confirms that the flow is there.
 
-        It gives back at once what is not there: the caller may have chosen
-        another server, which another balancer had offered the flow to.
+        An agent returns packets of unknown flows at once, so an agent that was
+        heard after it got a packet of the flow has not returned it. The flow
+        may be elsewhere if the caller has chosen another server, to which
+        another balancer had offered it.
         """
-        heard = self.server.heard_at - self.used_since > ANSWER_S
+        heard = self.server.heard_at - self.used_since > AGENT_ANSWER_MAX_S
         return heard and not self.last.opens
 
 
@@ -59,14 +62,14 @@
 
     Attributes:
         asked_since: When its caller began to wait, seconds.
-        segment: Its opening packet.
+        segment: Its opening packet (SYN).
         service: Its service.
         route: Its route.
         sent_at: When it was last offered, seconds.
-        wait_s: How long that offer may go unanswered, seconds.
+        wait_s: Timeout of that offer, seconds.
         tried: Ids of the servers that it was offered to.
-        busy: Ids of those of them that had no free slot for it.
-        if_free: It was last offered on the condition that a slot is free.
+        busy: Ids of those of them that had no free slot.
+        if_free: The last offer was conditional on a free slot.
         may_be_retry: See ``Wish``.
     """
 
@@ -83,28 +86,31 @@
 
 
 class Search(Struct, eq=False):
-    """A flow that is being looked for.
+    """A search for the backend server that holds a flow.
 
     Attributes:
-        services: Services that may hold it, the likely one first; logs and
-            metrics name that one.
+        services: Services that may hold the flow, the most likely one first;
+            logs and metrics name that one.
         waiting: Packets that wait for the outcome.
         unanswered: Hosts of agents that have not answered.
-        unsure: Hosts of agents that cannot tell.
-        trying: Hosts of agents that a packet was handed to on suspicion.
-        answered_s: When all agents had answered, seconds after its begin; 0
-            where none was unsure.
-        try_s: How long they have to tell what came of it, seconds.
-        sent_at: When it was last asked for, seconds.
-        rounds: How many times it was asked for.
-        since: When it began, seconds.
+        unsure: Hosts of agents that started too recently to know.
+        trying: Hosts of unsure agents that were sent a sample packet.
+        answered_s: Time from the start of the search until all agents had
+            answered, seconds; 0 if none was unsure.
+        try_s: Timeout of the sample packets, seconds.
+        sent_at: When agents were last asked, seconds.
+        rounds: How many times agents were asked.
+        since: When the search started, seconds.
         asked: Hosts of all agents that were asked, each with the tag of the
-            service that it was asked under.
-        wide: How many of them are beside servers of services that its route
-            does not name.
-        partial: Some of these were not asked, since too many were already.
-        silent: Hosts of agents that were tried and have shown nothing.
-        denied_at: When every known agent had denied, or None.
+            service that it was asked for.
+        wide: How many of them serve services that the flow's route does not
+            name.
+        partial: Some agents of such services were not asked, because too many
+            queries were outstanding.
+        silent: Hosts of agents that were sent a sample packet and did not
+            report an outcome.
+        denied_at: When every known agent had reported the flow absent, seconds,
+            or None.
     """
 
     services: tuple[str, ...]
@@ -125,12 +131,13 @@
 
 
 class ZoneState(Struct, eq=False):
-    """What a balancer knows of an availability zone.
+    """The state of an availability zone, as a balancer knows it.
 
     Attributes:
-        evacuated_at: When it learnt that the zone is evacuated, seconds; None
-            while it is not.
-        returned_at: When it learnt that the last evacuation was withdrawn.
+        evacuated_at: When the balancer learnt that the zone is evacuated,
+            seconds; None while it is not.
+        returned_at: When it learnt that the last evacuation was withdrawn,
+            seconds.
     """
 
     evacuated_at: float | None = None
@@ -138,46 +145,48 @@
 
 
 class BalancerBoard(Struct, eq=False):
-    """What a balancer knows.
+    """The state of a balancer.
 
     Attributes:
         zone: Its availability zone.
-        host: IP number of its host.
+        host: IP address of its host.
         view: What the platform publishes, by revision.
         table: The configuration in force, or None before the first.
-        servers: Backend servers by id, gone ones too for a while.
-        by_service: The same by service.
-        by_host: The newest one on each host.
+        servers: Backend servers by id; exited ones are kept for a while.
+        by_service: Backend servers by service.
+        by_host: The newest backend server on each host.
         zones: Availability zones that are or were evacuated, by name.
         fleet_known: The list of servers has been read.
-        known_since: When it was first read, seconds.
-        whole_since: Since when every change to it is known, seconds.
-        placing_since: When any balancer that is known of may first have placed
+        known_since: When the list of servers was first read, seconds.
+        whole_since: Since when every change to the list is known, seconds.
+        placing_since: Earliest time at which any known balancer may have placed
             a flow, seconds.
         splits: A route names several services.
-        placed: New flows by service, for each route that splits, since its
-            weights changed here.
+        placed: Number of new flows by service, for each route that names
+            several, since its weights last changed here.
         rerouted_at: When a route last named a service that it no longer names,
             seconds.
         confirmed_at: Everything that the platform had published up to this
             time is known, seconds.
-        confirmed_by: Host of the balancer that told so; empty for the platform.
-        store_failed_at: When the store last failed this process, seconds.
-        store_answered_at: When it last answered it, seconds.
-        store_revision: Revision that the store named in its last answer.
-        store_era: Era of the store that its last answer was of.
-        flows: Where flows are, least recently used first.
-        displaced: Flows whose server has given its host to another one, with
-            the service of the former, until somebody looks after them.
-        openings: New flows that wait for a server.
+        confirmed_by: Host of the balancer that reported this; empty for the
+            platform.
+        store_failed_at: When the store last failed for this process, seconds.
+        store_answered_at: When the store last answered this process, seconds.
+        store_revision: Revision in the last answer of the store.
+        store_era: Era of the store in its last answer.
+        flows: Placements of flows, least recently used first.
+        displaced: Flows whose server was replaced by another one on its host,
+            with the service of the replaced server, until they are searched
+            for.
+        openings: New flows that no server has accepted yet.
         busy_shares: How often new flows find no free slot.
-        searches: Flows that are being looked for.
+        searches: Searches for flows, by flow.
         records: Counters and decisions.
-        outbox: What is to be done.
+        outbox: Effects to perform.
         stopping: A planned stop has begun.
         refused: Why the last published document was refused, or empty.
         problems: Parts of published documents that were not understood.
-        isolated: Nobody else is heard, neither agents nor balancers.
+        isolated: Neither agents nor other balancers are heard.
         uses: Which mechanisms are in use.
     """
 
@@ -219,19 +228,23 @@
 
     @property
     def confirmed_clock(self) -> float | None:
-        """``confirmed_at`` for the log, seconds; None if there was none."""
+        """``confirmed_at`` for the log, seconds; None if never confirmed."""
         never = self.confirmed_at == float("-inf")
         return None if never else round(self.confirmed_at, 4)
 
     def move_flows(self, old: Server, new: Server) -> None:
         """Moves the flows of a server to the one that has replaced it.
 
-        Its agent will say that they are gone.
+        The agent of the new server reports that it does not have them.
+
+        Args:
+            old: The server that was replaced.
+            new: The server that replaced it.
         """
         for flow, placement in self.flows.items():
             if placement.server is old:
                 placement.server = new
                 if not self.uses.resting:
                     continue
-                # Several changes may be told at once: the first counts.
+                # If one update holds several changes, the first one counts.
                 self.displaced.setdefault(flow, old.entry.service)
