--- a/notchhoist/flows/decisions/attempts.py
+++ b/notchhoist/flows/decisions/attempts.py
@@ -1,36 +1,37 @@
 """How many servers a new flow is offered to before it waits for a slot.
 
-The load it answers: short requests at half load. What a balancer knows of a
-server is older than a request takes there, so a server that is believed free is
-busy about as often as any other, and flows wait while slots are free. An agent
-knows for certain. So a flow is first offered on the condition that a slot is
-free; an agent without one hands it back at once, with its load, and after a few
-attempts the flow waits where it was seen to be best.
+A balancer's load reports are older than a short request takes, so a server
+that is reported free is busy about as often as any other, and flows wait while
+other servers have free slots. This shows at half load. Only the agent knows the
+current state. A flow is therefore first offered on the condition that a slot is
+free. An agent without one returns it at once, with its load, and after a few
+attempts the flow waits at the best of the servers that were asked.
 """
 
 from msgspec import Struct, field
 
 MOST_ATTEMPTS = 6
-"""Servers that are asked for a free slot. Where half of the slots are taken,
-one flow in 64 finds none."""
+"""Most servers that are asked for a free slot. At a slot utilization of one
+half, one flow in 64 finds none."""
 
 FULL_ATTEMPTS = 2
 """The same where hardly any slot is free: the shorter of two queues gives
-most of the balance there is to gain."""
+most of the achievable balance."""
 
 FULL_SHARE = 0.97
-"""Share of attempts that find no free slot above which a service is full."""
+"""A service is full if more than this share of attempts finds no free slot."""
 
 SHARE_GAIN = 0.02
-"""Weight of one answer in that share, which follows about the last 100."""
+"""Weight of one answer in the exponentially smoothed share of attempts that
+find no free slot, which follows about the last 100 answers."""
 
 
-FEW_ANSWERS = 10
-"""With fewer answers nothing is said about how busy a service is."""
+ANSWERS_MIN = 10
+"""With fewer answers the slot utilization of a service is unknown."""
 
 
 class BusyShares(Struct, eq=False):
-    """Remembers how often attempts find no free slot, by service.
+    """Tracks how often attempts find no free slot, by service.
 
     Examples:
         >>> shares = BusyShares()
@@ -42,9 +43,11 @@
         2
 
     Attributes:
-        by_service: Smoothed share of the attempts, 0 at first.
-        means: The same, where the first answers count as much as later ones.
-        counts: How many answers there were, up to the last 1 / ``SHARE_GAIN``.
+        by_service: Exponentially smoothed share of attempts that found no free
+            slot, 0 at first.
+        means: The same share without the bias of the initial 0: the first
+            answers count as much as later ones.
+        counts: Number of answers, at most 1 / ``SHARE_GAIN``.
     """
 
     by_service: dict[str, float] = field(default_factory=dict)
@@ -52,7 +55,12 @@
     counts: dict[str, int] = field(default_factory=dict)
 
     def note(self, service: str, busy: bool) -> None:
-        """Takes account of an answer to an attempt."""
+        """Records an answer to an attempt.
+
+        Args:
+            service: Service of the server that answered.
+            busy: The server had no free slot.
+        """
         share = self.share(service)
         self.by_service[service] = share + SHARE_GAIN * (busy - share)
         count = min(self.counts.get(service, 0) + 1, int(1 / SHARE_GAIN))
@@ -65,12 +73,12 @@
         return self.by_service.get(service, 0.0)
 
     def busy(self, service: str) -> float | None:
-        """Returns the share of slots that are taken; None if too few answered.
+        """Returns the slot utilization; None if there are too few answers.
 
-        What servers have told of their requests is biased: mostly they tell
-        when they have just got one.
+        Load reports would be biased: servers mostly report right after they
+        have received a request.
         """
-        if self.counts.get(service, 0) < FEW_ANSWERS:
+        if self.counts.get(service, 0) < ANSWERS_MIN:
             return None
         return self.means[service]
 
--- a/notchhoist/flows/decisions/placing.py
+++ b/notchhoist/flows/decisions/placing.py
@@ -1,4 +1,4 @@
-"""Which backend server gets a new flow; pure functions."""
+"""Selection of the backend server for a new flow; pure functions."""
 
 import zlib
 from collections.abc import Collection, Mapping, Sequence
@@ -9,48 +9,49 @@
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
 
 CHOICES = 8
-"""Servers that a flow is placed among. Two give most of the balance there is to
-gain; eight leave room for those that drain, are slow or silent, and cover the
-services of ten servers that the target size has."""
+"""Most candidates for a flow. Two give most of the achievable balance; eight
+leave room for servers that drain, are slow or silent, and cover services of ten
+servers, the size that the system is designed for."""
 
-NEAR_CHOICES = 4
-"""How many of them are of the own zone, where it has so many."""
+LOCAL_CANDIDATES_MAX = 4
+"""How many of the candidates are of the local zone, if it has that many."""
 
 OUTLIER_RATIO = 1.5
-"""A server that takes this many times the median is counted as smaller.
-Service times of equal servers differ by less than that with the spread of
-0.5 that the workloads have and the smoothing of the agents."""
+"""A server whose service time is this many times the median counts as having
+fewer slots. Smoothed service times of equal servers differ by less, given the
+spread of 0.5 of the workloads."""
 
-UPLOAD_FAR_WAIT = 20.0
-"""What the own zone is worth to an upload, in service times: its 40 KB cross
-between zones, where its work takes 6 ms of an objective of 500 ms."""
+UPLOAD_REMOTE_WAIT = 20.0
+"""How much longer an upload waits in the local zone than in a remote one, in
+service times: its 40 KB would cross between zones, while it takes 6 ms of work
+and has a latency objective of 500 ms."""
 
-WELL_SHARE = 0.5
-"""A warm server that counts for less than this share of its slots is slow or
-fails; being in the own zone does not speak for it."""
+SLOW_SLOTS_SHARE = 0.5
+"""A warm server whose effective slots are less than this share of its slots is
+slow or fails; it is not preferred for being in the local zone."""
 
 FLOWS_WEIGHT = 0.2
-"""How much open flows count beside running requests for short flows: they
-foretell requests that have not arrived."""
+"""Weight of open flows, relative to running requests, for flows of one request:
+they predict requests that have not arrived yet."""
 
-NEVER = float("-inf")
+NEVER_HEARD = float("-inf")
 
-NO_COSTS: Mapping[str, FarCosts] = {}
+NO_PENALTIES: Mapping[str, FarCosts] = {}
 
 LAPSED_S = 2.2
-"""How long a server whose entry vanished may still be used, seconds: one that
-lives announces itself again within about 2 s, and what is gone must get nothing
-after 3 s."""
+"""How long a server whose entry expired may still be used, seconds: one that
+runs announces itself again within about 2 s, and one that has exited must get
+no flow after 3 s."""
 
-HEALTHY_SHARE = 0.5
-"""Servers whose entry vanished are used while fewer than this share of a
-service is listed: a store that was away loses entries of servers that live."""
+LISTED_MIN_SHARE = 0.5
+"""Servers whose entry expired are used while less than this share of a service
+is listed: an outage of the store also removes entries of running servers."""
 
 
 def median(values: Sequence[float]) -> float:
     """Returns the lower median, 0 for no values.
 
-    ``statistics`` is not imported: it takes 6 ms of a process's start.
+    ``statistics`` is not used: its import adds 6 ms to the start of a process.
 
     Examples:
         >>> median([40, 200, 60]), median([])
@@ -62,10 +63,11 @@
 def candidates(
     flow: bytes, servers: Sequence[Server], zone: str
 ) -> list[Server]:
-    """Returns the servers that a flow is placed among, some of the own zone.
+    """Returns the candidate servers for a flow, some of the local zone.
 
-    Every balancer of a zone finds the same ones by rendezvous hashing, so one
-    that does not know the flow asks a few agents of a large service, not all.
+    Rendezvous hashing gives every balancer of a zone the same candidates. So a
+    balancer that does not know a flow asks only a few agents of a large
+    service.
 
     Args:
         flow: Key of the flow.
@@ -82,9 +84,11 @@
         servers,
         key=lambda server: zlib.crc32(flow + server.entry.host.encode()),
     )
-    near = [item for item in ranked if item.entry.zone == zone][:NEAR_CHOICES]
-    far = [item for item in ranked if item not in near]
-    return near + far[: CHOICES - len(near)]
+    local = [item for item in ranked if item.entry.zone == zone][
+        :LOCAL_CANDIDATES_MAX
+    ]
+    remaining = [item for item in ranked if item not in local]
+    return local + remaining[: CHOICES - len(local)]
 
 
 def open_to_new(
@@ -94,7 +98,7 @@
 
     Args:
         servers: All known servers of a service.
-        evacuated: Zones that are to get nothing new.
+        evacuated: Zones that must get no new flows.
     """
     if not evacuated:
         return servers
@@ -102,29 +106,42 @@
 
 
 def is_willing(server: Server, now: float) -> bool:
-    """Tells whether a server takes new flows, as far as the platform tells."""
-    lives = server.listed or now - server.unlisted_at < LAPSED_S
-    return lives and not server.entry.draining
+    """Tells whether a server takes new flows, according to its entry.
+
+    Args:
+        server: The server.
+        now: Runtime clock, seconds.
+    """
+    usable_entry = server.listed or now - server.unlisted_at < LAPSED_S
+    return usable_entry and not server.entry.draining
 
 
 def usable(servers: Sequence[Server], now: float) -> list[Server]:
-    """Returns the servers that may get a new flow, the best class only.
+    """Returns the servers that may get a new flow.
+
+    Suspected servers are returned only if there are no others.
 
     Args:
         servers: Known servers of a service, in zones that take new flows.
         now: Runtime clock, seconds.
     """
-    willing = [server for server in servers if is_willing(server, now)]
-    listed = [server for server in willing if server.listed]
-    if len(listed) >= HEALTHY_SHARE * len(willing):
-        willing = listed
-    willing = [server for server in willing if now >= server.full_until]
-    answering = [server for server in willing if not server.suspected]
-    return answering or [server for server in willing if not server.lost]
+    accepting = [server for server in servers if is_willing(server, now)]
+    listed = [server for server in accepting if server.listed]
+    if len(listed) >= LISTED_MIN_SHARE * len(accepting):
+        accepting = listed
+    accepting = [server for server in accepting if now >= server.full_until]
+    answering = [server for server in accepting if not server.suspected]
+    return answering or [server for server in accepting if not server.lost]
 
 
 def capacity(server: Server, median_ms: float) -> float:
-    """Returns how many requests a server works on at once, by its pace."""
+    """Returns a server's slots, reduced if its service time is an outlier.
+
+    Args:
+        server: The server.
+        median_ms: Median service time of the servers that it is compared with,
+            ms; 0 if unknown.
+    """
     slots = float(max(1, server.entry.slots))
     if median_ms and server.pace_ms > OUTLIER_RATIO * median_ms:
         slots *= median_ms / server.pace_ms
@@ -138,22 +155,22 @@
     now: float,
     draw: Draw,
     uses: Mechanisms = ALL,
-    costs: Mapping[str, FarCosts] = NO_COSTS,
+    costs: Mapping[str, FarCosts] = NO_PENALTIES,
 ) -> Server | None:
-    """Returns the server for a new flow, or None where there is none.
+    """Returns the server for a new flow, or None if there are no servers.
 
-    A flow of many requests goes where the fewest flows are for the capacity; a
-    flow of one request goes where it would wait least. Servers of the own zone
-    win while they are not much fuller than the rest.
+    A flow of many requests goes to the server with the fewest open flows per
+    slot; a flow of one request goes where it is expected to wait least. Servers
+    of the local zone are preferred unless they are much more loaded.
 
     Args:
         servers: Servers that may get it.
-        kind: What the flow's requests are like.
+        kind: Kind of the flow's requests.
         zone: Availability zone of the balancer.
         now: Runtime clock, seconds.
-        draw: Random numbers in [0, 1), for ties.
+        draw: Random numbers in [0, 1), to break ties.
         uses: Which mechanisms are in use.
-        costs: What servers must be better by for their distance, by zone.
+        costs: Penalties of servers in remote zones, by zone.
     """
     if not servers:
         return None
@@ -164,16 +181,20 @@
     median_ms = median([item.pace_ms for item in servers if item.pace_ms])
     if not uses.pace:
         median_ms = 0.0
-    sizes = [capacity(server, median_ms) for server in servers]
-    mean = sum(server.flows for server in servers) / sum(sizes)
-    usual = _usual_flows(servers)
+    slot_counts = [capacity(server, median_ms) for server in servers]
+    mean_flows = sum(server.flows for server in servers) / sum(slot_counts)
+    reported_flows = _mean_reported_flows(servers)
     best = None
     best_score = float("inf")
-    for server, size in zip(servers, sizes, strict=True):
-        far = server.entry.zone != zone or is_unwell(server, size, now)
+    for server, slot_count in zip(servers, slot_counts, strict=True):
+        penalized = server.entry.zone != zone or is_unwell(
+            server, slot_count, now
+        )
         cost = costs.get(server.entry.zone, USUAL_COSTS)
-        score, extra = _score(server, size, kind, cost, mean, usual)
-        score += extra if far and uses.zone else 0.0
+        score, penalty = _score(
+            server, slot_count, kind, cost, mean_flows, reported_flows
+        )
+        score += penalty if penalized and uses.zone else 0.0
         score += draw() * 1e-6
         if score < best_score:
             best, best_score = server, score
@@ -182,52 +203,60 @@
 
 def _score(
     server: Server,
-    size: float,
+    slot_count: float,
     kind: RequestKind,
     cost: FarCosts,
-    mean: float,
-    usual: float,
+    mean_flows: float,
+    reported_flows: float,
 ) -> tuple[float, float]:
-    """Returns how full a server is, and what it counts for more if far.
+    """Returns a server's load score and its penalty if it is remote or slow.
 
     Args:
         server: The server.
-        size: Requests that it works on at once; see ``capacity``.
-        kind: What the flow's requests are like.
-        cost: What it must be better by if far.
-        mean: Open flows for each request that the servers work on at once.
-        usual: Mean of open flows at servers that were heard.
+        slot_count: Its effective slots; see ``capacity``.
+        kind: Kind of the flow's requests.
+        cost: Penalty of its zone.
+        mean_flows: Open flows per effective slot over all servers.
+        reported_flows: Mean number of open flows at servers that have reported
+            their load.
     """
     if kind is not RequestKind.IDEMPOTENT:
         upload = kind is RequestKind.UPLOAD
-        extra = UPLOAD_FAR_WAIT if upload else cost.wait
-        return _wait(server, size, mean), extra
-    unheard = cost.is_long and server.heard_at == NEVER
-    flows = max(server.flows, usual) if unheard else server.flows
-    # Among idle servers too, a long way counts for something.
-    least = 1.0 if cost.is_long else 0.0
-    return (flows + 1) / size, cost.flows * max(mean, least)
-
-
-def _usual_flows(servers: Sequence[Server]) -> float:
-    """Returns the mean of open flows at servers that were heard, or 0."""
-    heard = [item.flows for item in servers if item.heard_at > NEVER]
+        penalty = UPLOAD_REMOTE_WAIT if upload else cost.wait
+        return _expected_wait(server, slot_count, mean_flows), penalty
+    unheard = cost.is_long and server.heard_at == NEVER_HEARD
+    flows = max(server.flows, reported_flows) if unheard else server.flows
+    # A long distance is penalized among idle servers, too.
+    least_flows = 1.0 if cost.is_long else 0.0
+    return (flows + 1) / slot_count, cost.flows * max(mean_flows, least_flows)
+
+
+def _mean_reported_flows(servers: Sequence[Server]) -> float:
+    """Returns the mean of open flows at servers that have reported, or 0."""
+    heard = [item.flows for item in servers if item.heard_at > NEVER_HEARD]
     return sum(heard) / len(heard) if heard else 0.0
 
 
-def is_unwell(server: Server, size: float, now: float) -> bool:
-    """Tells whether a server is so slow that nearness does not speak for it.
+def is_unwell(server: Server, slot_count: float, now: float) -> bool:
+    """Tells whether a server is too slow to be preferred in the local zone.
 
     Args:
         server: The server.
-        size: Requests that it works on at once; see ``capacity``.
+        slot_count: Its effective slots; see ``capacity``.
         now: Runtime clock, seconds.
     """
-    return now >= server.warm_at and size < WELL_SHARE * server.entry.slots
+    return (
+        now >= server.warm_at
+        and slot_count < SLOW_SLOTS_SHARE * server.entry.slots
+    )
 
 
-def _wait(server: Server, size: float, mean: float) -> float:
-    queue = max(0.0, server.running + 1 - size) / size
-    relative = server.flows / size / mean if mean else 0.0
-    busy = 0.5 * server.running / size
-    return queue + busy + FLOWS_WEIGHT * relative
+def _expected_wait(
+    server: Server, slot_count: float, mean_flows: float
+) -> float:
+    queued_wait = max(0.0, server.running + 1 - slot_count) / slot_count
+    relative_flows = (
+        server.flows / slot_count / mean_flows if mean_flows else 0.0
+    )
+    running_wait = 0.5 * server.running / slot_count
+    return queued_wait + running_wait + FLOWS_WEIGHT * relative_flows
--- a/notchhoist/flows/decisions/reaching.py
+++ b/notchhoist/flows/decisions/reaching.py
@@ -1,66 +1,70 @@
-"""What it is worth to stay in the own availability zone; pure functions.
+"""Penalties for servers of remote availability zones; pure functions.
 
-Needed where zones are as far apart as a request takes. There an
-attempt at a server of another zone costs as much as waiting for a server of the
-own one, and a flow that is placed far pays its distance with every request.
-Where a round trip is short against the work, constants decide.
+They matter where a round trip between zones takes about as long as a request.
+There an attempt at a server of a remote zone costs as much as waiting for a
+server of the local one, and a flow at a remote server pays the round trip with
+every request. Where a round trip is short compared with the service time, the
+penalties are constant.
 """
 
 from msgspec import Struct
 
-FAR_FLOWS = 0.25
-"""How much fuller than the mean a server of the own zone may be before one of
-another zone is taken, as a share of the mean of open flows."""
+REMOTE_FLOWS_MARGIN = 0.25
+"""How many more open flows than a remote server a local one may have before the
+remote one is selected, as a share of the mean number of open flows."""
 
-FAR_WAIT = 0.5
-"""The same for requests: share of a service time that the own zone is worth,
-about two crossings of 1.5 ms in 50 ms of work and the price of the bytes."""
+REMOTE_WAIT_MARGIN = 0.5
+"""How much longer a request may wait at a local server, in service times. It
+covers two one-way trips of 1.5 ms between zones at a service time of 50 ms, and
+the cost of traffic between zones."""
 
 SHORT_SHARE = 0.25
-"""A round trip of at most this share of a service time is short: hardly any
-caller notices it."""
+"""A round trip of at most this share of a service time is short: it hardly
+changes the latency that callers see."""
 
-MOST_FAR_FLOWS = 1.0
-"""The highest value in place of ``FAR_FLOWS``: zones that differ by more than
-that are to share their load, however far they are."""
+REMOTE_FLOWS_MARGIN_MAX = 1.0
+"""Upper bound of the margin in open flows: zones that differ by more share
+their load, whatever the round trip between them is."""
 
-MOST_BUSY = 0.95
-"""Servers count as no busier than this; waits grow beyond all bounds."""
+UTILIZATION_MAX = 0.95
+"""Upper bound of the slot utilization in the queueing model, since waiting
+times diverge at 1."""
 
 ONCE_TRIPS = 2
-"""Round trips that a flow of one request pays: to open, and to ask."""
+"""Round trips of a flow of one request: the handshake and the request."""
 
 LONG_TRIPS = 10
-"""The same for a flow of many requests, a few of which it is sure to carry."""
+"""Round trips that a flow of many requests is assumed to take at least."""
 
 ACCEPT_WAIT_S = 0.06
-"""An agent has at least this long to tell that its server accepted, seconds:
-``SERVER_WAIT_S``, and what a balancer or an agent of a thin host may add."""
+"""Shortest time that an agent has to report its server's acceptance, seconds:
+``SERVER_WAIT_S``, and the delay of a balancer or agent on a host with little
+CPU."""
 
 SERVER_WAIT_S = 0.025
 """How long an agent waits for its server, seconds."""
 
-ACCEPT_TRIPS = 2
-"""Round trips that an answer may take before it counts as lost."""
+ACCEPT_ROUND_TRIPS = 2
+"""Round trips after which an acceptance that has not arrived counts as lost."""
 
 
 class FarCosts(Struct, frozen=True):
-    """What a server of another zone must be better by.
+    """How much better a server of a remote zone must be than a local one.
 
     Attributes:
-        flows: As a share of the mean of open flows.
-        wait: In service times.
-        extra_s: What a round trip there takes longer, seconds; 0 where that is
-            short or not known.
+        flows: Margin in open flows, as a share of their mean number.
+        wait: Margin in waiting time, in service times.
+        extra_s: How much longer a round trip to the zone takes, seconds; 0 if
+            that is short or not known.
     """
 
-    flows: float = FAR_FLOWS
-    wait: float = FAR_WAIT
+    flows: float = REMOTE_FLOWS_MARGIN
+    wait: float = REMOTE_WAIT_MARGIN
     extra_s: float = 0.0
 
     @property
     def is_long(self) -> bool:
-        """Whether the distance is to be reckoned with."""
+        """Whether the round trip is long compared with a service time."""
         return self.extra_s > 0.0
 
 
@@ -68,40 +72,42 @@
 
 
 def far_costs(extra_s: float, pace_s: float, busy: float) -> FarCosts:
-    """Returns what a server must be better by, for its distance.
+    """Returns the penalty for servers of a remote zone.
 
     Args:
-        extra_s: What a round trip there takes longer, seconds.
+        extra_s: How much longer a round trip to the zone takes, seconds.
         pace_s: Service time, seconds; 0 if unknown.
-        busy: Share of the slots that are taken.
+        busy: Slot utilization.
 
     Examples:
         >>> far_costs(0.003, 0.05, 0.5) == USUAL_COSTS
         True
-        >>> far_costs(0.0096, 0.015, 0.25).flows > FAR_FLOWS
+        >>> far_costs(0.0096, 0.015, 0.25).flows > REMOTE_FLOWS_MARGIN
         True
     """
     share = extra_s / pace_s if pace_s else 0.0
     if share <= SHORT_SHARE:
         return USUAL_COSTS
-    flows = min(MOST_FAR_FLOWS, max(FAR_FLOWS, _fuller(share, busy)))
-    wait = FAR_WAIT + ONCE_TRIPS * (share - SHORT_SHARE)
+    flows = min(
+        REMOTE_FLOWS_MARGIN_MAX,
+        max(REMOTE_FLOWS_MARGIN, _load_margin(share, busy)),
+    )
+    wait = REMOTE_WAIT_MARGIN + ONCE_TRIPS * (share - SHORT_SHARE)
     return FarCosts(flows, wait, extra_s)
 
 
-def _fuller(share: float, busy: float) -> float:
-    """Returns how much more load costs as much waiting as a distance takes.
+def _load_margin(share: float, busy: float) -> float:
+    """Returns the relative extra load that waits as long as a round trip takes.
 
-    Waits are taken to grow with the load as those of a single slot do that
-    requests meet by chance.
+    Waiting times are modelled as those of an M/M/1 queue.
 
     Args:
         share: Round trip as a share of a service time.
-        busy: Share of the slots that are taken.
+        busy: Slot utilization.
     """
-    busy = min(MOST_BUSY, busy)
+    busy = min(UTILIZATION_MAX, busy)
     if busy <= 0.0:
-        return MOST_FAR_FLOWS
+        return REMOTE_FLOWS_MARGIN_MAX
     wait = busy / (1 - busy) + share
     return wait / (1 + wait) / busy - 1
 
@@ -109,21 +115,24 @@
 def wait_s(ahead: int, slots: int, pace_s: float) -> float:
     """Returns how long a request waits at a busy server, seconds.
 
-    The requests that have a slot are half done on average.
+    Requests that hold a slot are assumed to be half done on average.
 
     Args:
-        ahead: Requests that are there.
-        slots: Requests that the server works on at once.
+        ahead: Requests that are running or queued at the server.
+        slots: Slots of the server.
         pace_s: Service time, seconds.
     """
     return max(0.0, ahead / max(1, slots) - 0.5) * pace_s
 
 
 def accept_wait_s(round_trip_s: float) -> float:
-    """Returns how long an agent has to tell of an acceptance, seconds.
+    """Returns how long an agent has to report an acceptance, seconds.
+
+    Args:
+        round_trip_s: Round-trip time to the agent, seconds.
 
     Examples:
         >>> accept_wait_s(0.003), accept_wait_s(0.05)
         (0.06, 0.125)
     """
-    return max(ACCEPT_WAIT_S, SERVER_WAIT_S + ACCEPT_TRIPS * round_trip_s)
+    return max(ACCEPT_WAIT_S, SERVER_WAIT_S + ACCEPT_ROUND_TRIPS * round_trip_s)
--- a/notchhoist/flows/decisions/splitting.py
+++ b/notchhoist/flows/decisions/splitting.py
@@ -5,18 +5,22 @@
 from collections.abc import Sequence
 
 _MASK = (1 << 64) - 1
-_SPAN = float(1 << 53)
+_MANTISSA_RANGE = float(1 << 53)
 
 
 def pick_target(flow: bytes, targets: Sequence[tuple[str, int]]) -> str:
-    """Returns the service of a new flow; the same one for each copy.
+    """Returns the service of a new flow.
 
-    Weighted rendezvous hashing: each service draws a number from the flow's key
-    and its own name, exponentially distributed with its weight as the rate, and
-    the smallest wins. So each gets its share, in whichever order they stand.
-    Changing one weight moves flows to or from that service only. Where a share
-    of d has to move, that much does between two services, and at most
-    2d / (1 + d) between more.
+    The choice depends only on the flow's key and the targets, so each copy of
+    an opening packet gets the same service.
+
+    The method is weighted rendezvous hashing. Each service gets a number that
+    is derived from the flow's key and the service's name and is exponentially
+    distributed with the service's weight as the rate; the smallest number wins.
+    So each service gets its share, whatever the order of the targets is.
+    Changing one weight moves flows to or from that service only. If a share d
+    of the flows has to move, exactly that share moves between two services, and
+    at most 2d / (1 + d) among more.
 
     Examples:
         >>> pick_target(b"flow", [("a", 1)])
@@ -44,13 +48,13 @@
 
 
 def _uniform(flow: bytes, service: str) -> float:
-    """Returns a number in (0, 1) that depends on a flow and a service.
+    """Returns a number in (0, 1) that is derived from a flow and a service.
 
-    Checksums of one flow under two services differ by the same bits for all
-    flows, so they are mixed with the finalizer of SplitMix64.
+    CRCs are linear: the CRCs of one flow under two services differ by the same
+    bits for all flows. The finalizer of SplitMix64 removes this correlation.
     """
     mixed = zlib.crc32(flow, zlib.crc32(service.encode())) * 0x9E3779B97F4A7C15
     mixed = ((mixed ^ mixed >> 30 & _MASK) * 0xBF58476D1CE4E5B9) & _MASK
     mixed = ((mixed ^ mixed >> 27) * 0x94D049BB133111EB) & _MASK
     mixed ^= mixed >> 31
-    return ((mixed >> 11) + 0.5) / _SPAN
+    return ((mixed >> 11) + 0.5) / _MANTISSA_RANGE
--- a/notchhoist/flows/decisions/tests/test_placing.py
+++ b/notchhoist/flows/decisions/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Which servers may get a new flow, and which one gets it."""
+"""Tests of the selection of a backend server for a new flow."""
 
 from notchhoist.flows.decisions.placing import LAPSED_S, choose, usable
 from notchhoist.flows.model.fleet import RequestKind, Server
@@ -16,23 +16,23 @@
     return choose(servers, kind, zone, now, lambda: 0.0)
 
 
-def test_no_server_is_no_server():
+def test_nothing_is_chosen_without_servers():
     assert best([]) is None
 
 
-def test_many_entries_that_vanish_at_once_are_used_for_a_while():
-    """A store that was away loses the entries of servers that live."""
+def test_many_entries_that_expire_at_once_are_used_for_a_while():
+    """After an outage the store has lost entries of running servers."""
     servers = [server(1), *(server(n, unlisted_at=10.0) for n in (2, 3))]
     assert len(usable(servers, 10.0 + LAPSED_S / 2)) == 3
 
 
-def test_what_stays_unlisted_gets_nothing_within_the_bound():
-    """It got new flows for a minute where most of a service was gone."""
+def test_servers_that_stay_unlisted_get_no_flows_after_the_deadline():
+    """Without it they got flows for a minute where most of a service exited."""
     servers = [server(n, unlisted_at=10.0) for n in (1, 2, 3)]
     assert not usable(servers, 10.01 + LAPSED_S)
 
 
-def test_a_single_entry_that_vanishes_gets_nothing_at_once():
+def test_single_server_whose_entry_expires_gets_no_flows_at_once():
     servers = [server(1), server(2), server(3, unlisted_at=10.0)]
     assert [item.entry.server_id for item in usable(servers, 10.1)] == [
         "s1",
@@ -47,14 +47,14 @@
     assert not usable([server(1, suspected=True, lost=True)], 0.0)
 
 
-def test_the_own_zone_wins_until_it_is_clearly_fuller():
-    near, far = server(1, "a", flows=20), server(2, "b", flows=19)
-    assert best([near, far]) is near
-    near.flows = 40
-    assert best([near, far]) is far
+def test_local_zone_is_preferred_unless_it_is_much_more_loaded():
+    local, remote = server(1, "a", flows=20), server(2, "b", flows=19)
+    assert best([local, remote]) is local
+    local.flows = 40
+    assert best([local, remote]) is remote
 
 
-def test_a_slow_server_counts_as_smaller():
+def test_slow_server_counts_as_having_fewer_slots():
     slow, other = server(1, pace_ms=400), server(2, pace_ms=60)
     third = server(3, pace_ms=60)
     for item in (slow, other, third):
@@ -62,23 +62,23 @@
     assert best([slow, other, third]) is not slow
 
 
-def test_a_single_request_goes_where_it_waits_least():
+def test_single_request_goes_where_it_waits_least():
     busy, idle = server(1, running=5), server(2, "b", running=1)
     assert best([busy, idle], RequestKind.ONCE_ONLY) is idle
 
 
-def test_an_upload_stays_in_its_zone_though_another_server_is_idle():
-    """Most bytes between zones were those of uploads."""
+def test_upload_stays_in_its_zone_though_a_remote_server_is_idle():
+    """Without this rule uploads were most of the traffic between zones."""
     busy, idle = server(1, running=5), server(2, "b")
     assert best([busy, idle], RequestKind.UPLOAD) is busy
 
 
-def test_an_upload_leaves_its_zone_for_a_server_that_is_well():
+def test_upload_leaves_its_zone_if_the_local_server_fails():
     failing = server(1, pace_ms=400)
     others = [server(2, "b", pace_ms=24), server(3, "c", pace_ms=24)]
     assert best([failing, *others], RequestKind.UPLOAD) in others
 
 
-def test_an_upload_leaves_a_zone_that_is_overrun():
-    overrun, idle = server(1, running=80), server(2, "b")
-    assert best([overrun, idle], RequestKind.UPLOAD) is idle
+def test_upload_leaves_an_overloaded_zone():
+    overloaded, idle = server(1, running=80), server(2, "b")
+    assert best([overloaded, idle], RequestKind.UPLOAD) is idle
--- a/notchhoist/flows/decisions/tests/test_splitting.py
+++ b/notchhoist/flows/decisions/tests/test_splitting.py
@@ -1,4 +1,4 @@
-"""Weights of a split: shares, how little a change moves, order."""
+"""Tests of the weighted choice between the services of a route."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,7 +7,8 @@
 
 FLOWS = [number.to_bytes(12, "big") for number in range(2000)]
 NOISE = 0.05
-"""Shares of 2,000 draws are this near to the weights: 4.5 deviations."""
+"""Largest expected difference between shares of 2,000 flows and the weights:
+4.5 standard deviations."""
 
 weights = st.dictionaries(
     st.sampled_from("abcdef"), st.integers(0, 1000), min_size=1, max_size=5
@@ -36,8 +37,8 @@
 
 @few
 @given(weights, weights)
-def test_a_change_moves_what_it_must_and_no_more(before, after):
-    """The bound is that of the draws; two services move what they must."""
+def test_change_of_weights_moves_few_flows(before, after):
+    """At most 2d / (1 + d) of the flows move; d between two services."""
     must = sum(
         max(0.0, share(after, service) - share(before, service))
         for service in after
@@ -53,7 +54,7 @@
 
 @few
 @given(weights, st.sampled_from("abcdef"), st.integers(0, 1000))
-def test_a_changed_weight_moves_flows_of_that_service_only(
+def test_changed_weight_moves_flows_of_that_service_only(
     before, service, weight
 ):
     after = {**before, service: weight}
@@ -67,12 +68,12 @@
 
 @few
 @given(weights, st.randoms(use_true_random=False))
-def test_the_order_of_the_targets_does_not_matter(named, rng):
+def test_order_of_the_targets_does_not_matter(named, rng):
     targets = list(named.items())
     rng.shuffle(targets)
     assert placed(named) == placed(dict(targets))
 
 
-def test_huge_weights_are_weights_like_others():
+def test_huge_weights_keep_their_shares():
     chosen = placed({"a": 1_000_000, "b": 1_000_000, "c": 1})
     assert abs(chosen.count("a") / len(FLOWS) - 0.5) < NOISE
