--- a/notchhoist/flows/decisions/holding.py
+++ b/notchhoist/flows/decisions/holding.py
@@ -1,9 +1,9 @@
-"""Requests that wait beside a backend server for one of its slots.
+"""Requests that are queued at the agent for a slot of its backend server.
 
-A backend server works on a few requests at once and queues the rest in the
-order of arrival, so that after an outage everybody waits for what is late
-already. The agent lets it have no more than it works on; the rest wait here,
-and ``queueing`` picks from them.
+A backend server works on a few requests at once and queues the rest in order of
+arrival, so that after an outage every request waits behind those that are late
+already. The agent therefore forwards no more requests than the server works on
+at once; the rest are queued here, and ``queueing`` picks from them.
 """
 
 from msgspec import Struct
@@ -13,31 +13,34 @@
 from notchhoist.flows.model.wishes import RETRY_S, Wish
 
 HOLD_MAX_S = 0.9
-"""A caller is taken to wait for so long where nobody has told, seconds: below
-half of the shortest timeout, 2 s, so that there is time for another try."""
+"""A caller whose timeout is not known is assumed to wait this long, seconds:
+below half of the shortest timeout, 2 s, which leaves time for a retry."""
 
-HOLD_OPEN_MAX_S = 1.5
+OPEN_FLOW_WAIT_MAX_S = 1.5
 HOLD_OPEN_OBJECTIVES = 6.0
-"""The same on an open flow, which cannot be refused: so many objectives, and no
-longer than 1.5 s. Passed on after 0.9 s, late requests took half of the slots
-of a service with twice its usual load."""
-
-SAFE_PACES = 2.0
-LEAST_PACES = 0.5
-"""Service times before its caller gives up that a request should get its slot,
-and that it must. Work spreads like a lognormal distribution with a sigma of
-0.5: 92% takes less than the first, 8% less than the second. With one figure for
-both, requests that are to be picked at the last moment would be given up just
+"""The same for a request on an open flow, which cannot be refused: this many
+latency objectives, but at most 1.5 s. When late requests were forwarded after
+0.9 s, they took half of the slots of a service at twice its usual load."""
+
+SAFE_START_SERVICE_TIMES = 2.0
+LATEST_START_SERVICE_TIMES = 0.5
+"""A request should get its slot ``SAFE_START_SERVICE_TIMES`` service times
+before its caller's timeout, and must get it ``LATEST_START_SERVICE_TIMES``
+before. Service times follow a lognormal distribution with a sigma of 0.5: 92%
+of requests take less than the first, 8% less than the second. With one value
+for both, requests that are picked at the last moment would be dropped just
 before."""
 
-CLOSES_AFTER_S = 0.1
-"""A caller that closes its flow so long after its request, seconds, and before
-anything has run, has given up. One that sends no more and waits for its answer
-closes along with its request; it is served when nobody else waits, since nearly
-all that did so after an outage had given up before they were accepted."""
+ABANDONED_AFTER_S = 0.1
+"""A caller that closes its flow this long after its request, seconds, and
+before the request has run, has abandoned the request. A caller that only
+half-closes its flow and waits for the answer closes it along with the request.
+Such a request is served when no other waits, since nearly all callers that did
+so after an outage had abandoned it before they were accepted."""
 
-HELD_PACKETS_MAX = 16
-"""Packets kept of one request; an end has no more under way."""
+QUEUED_PACKETS_MAX = 16
+"""Most packets that are kept of one request; an endpoint has no more in
+flight."""
 
 
 class HeldRequest(Struct, eq=False):
@@ -45,14 +48,14 @@
 
     Attributes:
         flow: Key of its flow.
-        held: The flow.
+        held: State of the flow at the agent.
         segments: Its packets.
-        arrived_at: When the first of them came, seconds.
-        wish: What is known of its caller, as of ``arrived_at``.
-        unopened: The backend server does not hold the end of the handshake,
-            so nothing can have run.
-        closes: Its caller has closed the flow along with the request: it wants
-            no more than this answer, or nothing at all.
+        arrived_at: When the first packet arrived, seconds.
+        wish: Hints on the request and its caller, as of ``arrived_at``.
+        unopened: The last packet of the handshake has not been forwarded to the
+            backend server, so the request cannot have run.
+        closes: Its caller has closed the flow along with the request: it
+            expects no answer after this one, or has abandoned the request.
     """
 
     flow: bytes
@@ -65,50 +68,59 @@
 
     @property
     def due(self) -> float:
-        """When it is late, seconds."""
+        """When its latency objective ends, seconds."""
         return self.arrived_at - self.wish.age_s + self.wish.objective_s
 
     @property
     def ends_at(self) -> float:
-        """When its caller gives up, seconds, or a guess at that."""
-        left_s = self.wish.left_s or self._usual_left_s()
+        """When its caller's timeout ends, known or assumed, seconds."""
+        left_s = self.wish.left_s or self._default_left_s()
         return self.arrived_at + left_s
 
-    def _usual_left_s(self) -> float:
+    def _default_left_s(self) -> float:
         if self.unopened or not self.wish.objective_s:
             return HOLD_MAX_S
-        longest = HOLD_OPEN_OBJECTIVES * self.wish.objective_s
-        return min(HOLD_OPEN_MAX_S, longest)
+        longest_s = HOLD_OPEN_OBJECTIVES * self.wish.objective_s
+        return min(OPEN_FLOW_WAIT_MAX_S, longest_s)
 
     def is_late(self, now: float, pace_s: float) -> bool:
-        """Tells whether its answer would come after its objective."""
+        """Tells whether its answer would miss its latency objective."""
         return now + pace_s > self.due
 
     def last_start(self, pace_s: float) -> float:
-        """Returns when a slot is of no more use to it, seconds."""
-        return self.ends_at - LEAST_PACES * pace_s
+        """Returns the latest time at which a slot is of use to it, seconds."""
+        return self.ends_at - LATEST_START_SERVICE_TIMES * pace_s
 
-    def wanted_by(self, now: float, pace_s: float) -> float:
-        """Returns when it should get a slot lest its caller be lost, seconds.
+    def safe_start(self, now: float, pace_s: float) -> float:
+        """Returns when it should get a slot to be answered in time, seconds.
 
-        Whoever may be on a retry is first served in time for that. If it still
-        waits after that time it was on its first try.
+        A caller that may be on a retry has ``RETRY_S`` less left. It is first
+        served as if it were; if it still waits after that time, this is its
+        first connection attempt.
         """
         ends_at = self.ends_at
         if self.wish.may_be_retry and now <= ends_at - RETRY_S:
             ends_at -= RETRY_S
-        return ends_at - SAFE_PACES * pace_s
+        return ends_at - SAFE_START_SERVICE_TIMES * pace_s
 
     def is_given_up(self, segment: Segment, now: float) -> bool:
-        """Tells whether a packet shows that the caller waits no longer."""
+        """Tells whether a packet shows that the caller abandoned the request.
+
+        Args:
+            segment: The caller's packet.
+            now: Runtime clock, seconds.
+        """
         if not self.unopened or not segment.closes or self.closes:
             return False
-        return now - self.arrived_at >= CLOSES_AFTER_S
+        return now - self.arrived_at >= ABANDONED_AFTER_S
 
     def add(self, segment: Segment) -> None:
-        """Adds a packet; copies and what exceeds the window are dropped."""
+        """Adds a packet.
+
+        Retransmissions and packets beyond ``QUEUED_PACKETS_MAX`` are dropped.
+        """
         self.closes = self.closes or segment.closes
-        if len(self.segments) >= HELD_PACKETS_MAX:
+        if len(self.segments) >= QUEUED_PACKETS_MAX:
             return
         if all(
             (known.seq, known.size) != (segment.seq, segment.size)
--- a/notchhoist/flows/decisions/queueing.py
+++ b/notchhoist/flows/decisions/queueing.py
@@ -1,12 +1,14 @@
-"""Which request gets the next slot of a backend server, and which none.
+"""Which queued request gets the next slot of a backend server, and which none.
 
-Answers two loads. After an outage everybody who waited meanwhile asks at once,
-while new callers arrive at the usual rate: requests that can still be on time
-go first, but not at the price of those that are late already and would be lost.
-A late answer serves its caller, none does not, and the backlog ends soon.
+Two situations need different orders. After an outage all waiting callers send
+their requests at once, while new ones arrive at the usual rate. Requests that
+can still meet their latency objective go first, except before late requests
+whose callers would otherwise time out: a late answer is better than none, and
+the backlog is short-lived.
 
-Where more new requests arrive than can be served, the backlog would never end:
-each late one that is saved makes a new one late. Then those on time go first.
+If new requests exceed the capacity of the server, the backlog never ends, and
+each late request that is served makes a new one late. Then requests that can be
+on time go first.
 """
 
 import math
@@ -20,52 +22,73 @@
 
 FULL_LOAD = 1.1
 SPARE_LOAD = 0.9
-"""New requests per slot and service time. Below the lower one a backlog ends,
-and late requests that would be lost go before those that can be on time; above
-the upper one they don't; between the two they get a share of the slots. A tenth
-on either side is what the smoothed service time is off by."""
+"""Loads, as new requests per slot and service time. Below ``SPARE_LOAD`` a
+backlog ends, and late requests that would be lost go before those that can be
+on time. Above ``FULL_LOAD`` they don't, and in between they get a share of the
+slots. The margin of a tenth on either side is the error of the smoothed service
+time."""
 
-LOAD_S = 1.0
-"""New requests are counted over about this time, seconds: 20 of them at a
-server with two slots, and soon enough to notice a burst."""
+LOAD_WINDOW_S = 1.0
+"""Time constant of the decaying count of new requests, seconds: it holds 20
+requests at a server with two slots, and is short enough to notice a burst."""
 
-FRESH_S = 0.15
-"""A request counts as new while its caller has waited no longer, seconds: the
-second copy of an opening packet comes after 0.2 s."""
+NEW_REQUEST_MAX_AGE_S = 0.15
+"""A request counts as new if its caller has waited at most this long, seconds:
+the second copy of an opening packet arrives after 0.2 s."""
 
 
 class SlotQueue(Struct, eq=False):
-    """Shares out slots between requests that are late and that are not.
+    """Divides slots between late requests and those that can be on time.
 
     Attributes:
         uses: Which mechanisms are in use.
-        late_credit: Slots that late requests have coming.
-        arrived: New requests, each counted less the longer ago it came.
-        arrived_at: When the last one came, seconds.
+        late_credit: Slots that late requests are entitled to.
+        recent_arrivals: Exponentially decaying count of new requests, as of
+            ``arrived_at``.
+        arrived_at: When the last new request arrived, seconds.
     """
 
     uses: Mechanisms = ALL
     late_credit: float = 0.0
-    arrived: float = 0.0
+    recent_arrivals: float = 0.0
     arrived_at: float = float("-inf")
 
     def note_arrival(self, wish: Wish, now: float) -> None:
-        """Counts a request if it is new."""
-        if wish.may_be_retry or wish.age_s > FRESH_S:
+        """Counts a request if it is new.
+
+        Args:
+            wish: Hints on the request and its caller.
+            now: Runtime clock, seconds.
+        """
+        if wish.may_be_retry or wish.age_s > NEW_REQUEST_MAX_AGE_S:
             return
-        self.arrived = self._recent(now) + 1.0
+        self.recent_arrivals = self._decayed_arrivals(now) + 1.0
         self.arrived_at = now
 
-    def _recent(self, now: float) -> float:
-        return self.arrived * math.exp((self.arrived_at - now) / LOAD_S)
+    def _decayed_arrivals(self, now: float) -> float:
+        return self.recent_arrivals * math.exp(
+            (self.arrived_at - now) / LOAD_WINDOW_S
+        )
 
     def load(self, now: float, pace_s: float, slots: int) -> float:
-        """Returns how much of the server new requests take; 1 is all of it."""
-        per_s = self._recent(now) / LOAD_S
+        """Returns the load of new requests; 1 is the server's capacity.
+
+        Args:
+            now: Runtime clock, seconds.
+            pace_s: Service time, seconds.
+            slots: Slots of the backend server.
+        """
+        per_s = self._decayed_arrivals(now) / LOAD_WINDOW_S
         return per_s * pace_s / max(1, slots)
 
     def late_share(self, now: float, pace_s: float, slots: int) -> float:
-        """Returns the share of slots for late requests that would be lost."""
+        """Returns the share of slots for late requests that would be lost.
+
+        Args:
+            now: Runtime clock, seconds.
+            pace_s: Service time, seconds.
+            slots: Slots of the backend server.
+        """
         if not self.uses.late_first:
             return 0.0
         if not self.uses.load_of_new:
@@ -83,34 +106,34 @@
         """Returns the request that gets the next slot, or None.
 
         Args:
-            waiting: The requests that wait.
+            waiting: The queued requests.
             now: Runtime clock, seconds.
-            pace_s: Time that the backend server takes for one, seconds.
-            slots: Requests that it works on at once.
+            pace_s: Service time, seconds.
+            slots: Slots of the backend server.
         """
         if not self.uses.order:
             return min(waiting, key=lambda item: item.arrived_at, default=None)
-        others = [item for item in waiting if not item.closes]
-        waiting = others or list(waiting)
+        not_closing = [item for item in waiting if not item.closes]
+        waiting = not_closing or list(waiting)
         late: list[HeldRequest] = []
-        punctual: list[HeldRequest] = []
+        on_time: list[HeldRequest] = []
         for item in waiting:
             is_late = item.is_late(now, pace_s)
             if not is_late:
-                punctual.append(item)
+                on_time.append(item)
             if is_late or item.wish.may_be_retry:
                 late.append(item)
-        late.sort(key=lambda item: item.wanted_by(now, pace_s))
-        if not punctual:
-            return first_useful(late, now, pace_s)
-        best = min(punctual, key=self._rank)
-        if not is_pressed(late, now, pace_s, slots):
+        late.sort(key=lambda item: item.safe_start(now, pace_s))
+        if not on_time:
+            return first_servable(late, now, pace_s)
+        best = min(on_time, key=self._rank)
+        if not has_urgent(late, now, pace_s, slots):
             return best
         self.late_credit += self.late_share(now, pace_s, slots)
         if self.late_credit < 1.0:
             return best
         self.late_credit -= 1.0
-        return first_useful(late, now, pace_s) or best
+        return first_servable(late, now, pace_s) or best
 
     def _rank(self, item: HeldRequest) -> tuple[int, float]:
         priority = item.wish.priority if self.uses.priority else 0
@@ -120,13 +143,13 @@
 def hopeless(
     waiting: Iterable[HeldRequest], now: float, pace_s: float, slots: int
 ) -> list[HeldRequest]:
-    """Returns requests that would get no slot if all went to late ones.
+    """Returns late requests that get no slot even if late ones get all slots.
 
-    They are told at once, not when their time is over. Others are not known to
-    be in vain: a burst may end, and callers leave.
+    They are refused at once, not only at their callers' timeouts. Nothing is
+    certain about the others: a burst may end, and callers may abandon requests.
 
     Args:
-        waiting: The requests that wait.
+        waiting: The queued requests.
         now: Runtime clock, seconds.
         pace_s: Service time, seconds.
         slots: Slots of the backend server.
@@ -134,42 +157,50 @@
     late = [item for item in waiting if item.is_late(now, pace_s)]
     late.sort(key=lambda item: (item.closes, item.last_start(pace_s)))
     start = now
-    in_vain = []
+    dropped = []
     for item in late:
         if start > item.last_start(pace_s):
-            in_vain.append(item)
+            dropped.append(item)
         else:
             start += pace_s / max(1, slots)
-    return in_vain
+    return dropped
 
 
-def first_useful(
+def first_servable(
     late: Sequence[HeldRequest], now: float, pace_s: float
 ) -> HeldRequest | None:
-    """Returns the first whose caller still waits for the answer, else any."""
+    """Returns the first late request that can still be answered in time.
+
+    If there is none, returns the first one, or None if there are no requests.
+
+    Args:
+        late: Late requests, in the order in which they are served.
+        now: Runtime clock, seconds.
+        pace_s: Service time, seconds.
+    """
     for item in late:
         if now <= item.last_start(pace_s):
             return item
     return late[0] if late else None
 
 
-def is_pressed(
+def has_urgent(
     late: Sequence[HeldRequest], now: float, pace_s: float, slots: int
 ) -> bool:
     """Tells whether a late request is lost unless late ones go first now.
 
     Args:
-        late: Late requests, those whose callers give up first in front.
+        late: Late requests, ordered by ``safe_start``.
         now: Runtime clock, seconds.
         pace_s: Service time, seconds.
         slots: Slots of the backend server.
     """
     start = now
-    step_s = pace_s / max(1, slots)
+    interval_s = pace_s / max(1, slots)
     for item in late:
         if now > item.last_start(pace_s):
             continue
-        start += step_s
-        if start > item.wanted_by(now, pace_s):
+        start += interval_s
+        if start > item.safe_start(now, pace_s):
             return True
     return False
--- a/notchhoist/flows/decisions/tests/test_queueing.py
+++ b/notchhoist/flows/decisions/tests/test_queueing.py
@@ -1,16 +1,16 @@
-"""Who gets a slot: single choices, and loads played through to the end."""
+"""Tests of slot allocation: single choices and simulated loads."""
 
 import random
 
 import pytest
 
 from notchhoist.flows.decisions.holding import HeldRequest
-from notchhoist.flows.decisions.queueing import SlotQueue, hopeless, is_pressed
+from notchhoist.flows.decisions.queueing import SlotQueue, has_urgent, hopeless
 from notchhoist.flows.model.held import HeldFlow, Phase
 from notchhoist.flows.model.wishes import RETRY_S, Wish
 
 OBJECTIVE_S = 0.15
-PATIENCE_S = 2.5
+TIMEOUT_S = 2.5
 PACE_S = 0.045
 SLOTS = 2
 CAPACITY = SLOTS / PACE_S
@@ -18,13 +18,13 @@
 
 def waiting(arrived_at=0.0, age_s=0.0, **fields):
     priority = fields.pop("priority", 0)
-    doubt = fields.pop("may_be_retry", False)
+    retry = fields.pop("may_be_retry", False)
     wish = Wish(
         objective_s=OBJECTIVE_S,
         age_s=age_s,
         priority=priority,
-        left_s=PATIENCE_S - age_s,
-        may_be_retry=doubt,
+        left_s=TIMEOUT_S - age_s,
+        may_be_retry=retry,
     )
     held = HeldFlow(Phase.OPEN, "", arrived_at, arrived_at)
     return HeldRequest(b"", held, [], arrived_at, wish, True, **fields)
@@ -34,22 +34,22 @@
     return (queue or SlotQueue()).pick(requests, now, PACE_S, SLOTS)
 
 
-def test_what_is_due_first_among_those_on_time_goes_first():
+def test_earliest_deadline_goes_first_among_requests_on_time():
     first, second = waiting(0.0), waiting(0.01)
     assert pick(second, first, now=0.02) is first
 
 
-def test_a_late_request_waits_while_it_can():
+def test_late_request_waits_while_it_is_not_urgent():
     late, new = waiting(age_s=1.0), waiting()
     assert pick(late, new) is new
 
 
-def test_a_late_request_goes_first_when_it_would_be_lost():
+def test_late_request_goes_first_when_it_would_be_lost():
     late, new = waiting(age_s=2.4), waiting()
     assert pick(late, new) is late
 
 
-def test_no_late_request_goes_first_where_new_ones_fill_the_server():
+def test_late_request_does_not_go_first_if_new_ones_fill_the_server():
     queue = SlotQueue()
     for number in range(200):
         queue.note_arrival(waiting().wish, number / (1.2 * CAPACITY))
@@ -66,40 +66,40 @@
     assert queue.load(0.0, PACE_S, SLOTS) == 0.0
 
 
-def test_who_may_be_on_a_retry_is_served_in_time_for_that():
-    doubtful = waiting(may_be_retry=True)
-    certain = waiting()
-    near = PATIENCE_S - RETRY_S - 0.1
-    assert is_pressed([doubtful], near, PACE_S, SLOTS)
-    assert not is_pressed([certain], near, PACE_S, SLOTS)
-    assert not is_pressed([doubtful], near + 0.2, PACE_S, SLOTS)
+def test_possible_retry_is_served_before_its_shorter_timeout():
+    possible_retry = waiting(may_be_retry=True)
+    first_attempt = waiting()
+    just_before = TIMEOUT_S - RETRY_S - 0.1
+    assert has_urgent([possible_retry], just_before, PACE_S, SLOTS)
+    assert not has_urgent([first_attempt], just_before, PACE_S, SLOTS)
+    assert not has_urgent([possible_retry], just_before + 0.2, PACE_S, SLOTS)
 
 
-def test_a_caller_that_has_closed_its_flow_comes_last():
+def test_request_whose_caller_closed_the_flow_comes_last():
     closing, late = waiting(closes=True), waiting(age_s=1.0)
     assert pick(closing, late) is late
     assert pick(closing) is closing
 
 
-def test_nothing_waits_nothing_is_picked():
+def test_nothing_is_picked_from_an_empty_queue():
     assert pick() is None
 
 
-def test_who_cannot_get_a_slot_in_time_is_known_at_once():
-    crowd = [waiting(age_s=1.0) for _ in range(100)]
-    in_vain = hopeless(crowd, 0.0, PACE_S, SLOTS)
-    served = (PATIENCE_S - 1.0) * CAPACITY
-    assert len(in_vain) == pytest.approx(100 - served, abs=4)
-    assert not hopeless(crowd[:50], 0.0, PACE_S, SLOTS)
+def test_requests_that_get_no_slot_in_time_are_found_at_once():
+    batch = [waiting(age_s=1.0) for _ in range(100)]
+    dropped = hopeless(batch, 0.0, PACE_S, SLOTS)
+    served = (TIMEOUT_S - 1.0) * CAPACITY
+    assert len(dropped) == pytest.approx(100 - served, abs=4)
+    assert not hopeless(batch[:50], 0.0, PACE_S, SLOTS)
 
 
-def test_requests_that_can_be_on_time_are_never_in_vain():
-    crowd = [waiting() for _ in range(500)]
-    assert not hopeless(crowd, 0.0, PACE_S, SLOTS)
+def test_requests_that_can_be_on_time_are_never_dropped():
+    batch = [waiting() for _ in range(500)]
+    assert not hopeless(batch, 0.0, PACE_S, SLOTS)
 
 
 class FirstComeFirstServed:
-    """The naive queue: order of arrival, nobody is refused."""
+    """A baseline queue: order of arrival; no request is refused."""
 
     def note_arrival(self, wish, now):
         pass
@@ -109,47 +109,50 @@
 
 
 class OnTimeFirst(SlotQueue):
-    """Late requests get what those on time leave over."""
+    """Late requests get only slots that those on time leave free."""
 
     def late_share(self, now, pace_s, slots):
         return 0.0
 
 
-def play(queue, backlog, load, seconds, sheds=True, seed=1):
-    """Plays a server's load; returns callers on time, late and lost.
+def simulate(queue, backlog, load, seconds, sheds=True, seed=1):
+    """Simulates a server; returns how many callers are on time, late and lost.
 
     Args:
-        queue: Who decides.
+        queue: The queue under test.
         backlog: Callers that wait at the start, for 0 to 2 s already.
-        load: New requests as a share of what the server can do.
-        seconds: How long new ones arrive.
-        sheds: Whether requests in vain are refused.
-        seed: Seed of every draw.
+        load: New requests as a share of the server's capacity.
+        seconds: How long new requests arrive.
+        sheds: Whether requests that get no slot in time are refused.
+        seed: Seed of the random numbers.
     """
     rng = random.Random(seed)
-    held = [waiting(0.0, age_s=rng.uniform(0.0, 2.0)) for _ in range(backlog)]
+    queued = [waiting(0.0, age_s=rng.uniform(0.0, 2.0)) for _ in range(backlog)]
     arrivals = sorted(
         rng.uniform(0.0, seconds) for _ in range(int(load * CAPACITY * seconds))
     )
     free_at = [0.0] * SLOTS
     outcome = {"on time": 0, "late": 0, "lost": 0}
     now = 0.0
-    while now < seconds + PATIENCE_S:
+    while now < seconds + TIMEOUT_S:
         while arrivals and arrivals[0] <= now:
-            held.append(waiting(arrivals.pop(0)))
-            queue.note_arrival(held[-1].wish, now)
-        gone = [item for item in held if now >= item.ends_at]
+            queued.append(waiting(arrivals.pop(0)))
+            queue.note_arrival(queued[-1].wish, now)
+        lost = [item for item in queued if now >= item.ends_at]
         if sheds:
-            gone += hopeless(
-                [item for item in held if item not in gone], now, PACE_S, SLOTS
+            lost += hopeless(
+                [item for item in queued if item not in lost],
+                now,
+                PACE_S,
+                SLOTS,
             )
-        outcome["lost"] += len(gone)
-        held = [item for item in held if item not in gone]
+        outcome["lost"] += len(lost)
+        queued = [item for item in queued if item not in lost]
         for slot, free in enumerate(free_at):
-            if free > now or not held:
+            if free > now or not queued:
                 continue
-            item = queue.pick(held, now, PACE_S, SLOTS)
-            held.remove(item)
+            item = queue.pick(queued, now, PACE_S, SLOTS)
+            queued.remove(item)
             took_s = PACE_S * rng.uniform(0.6, 1.4)
             free_at[slot] = now + took_s
             if now + took_s > item.ends_at:
@@ -161,37 +164,40 @@
     return outcome
 
 
-def test_after_an_outage_nobody_is_lost_whom_the_server_can_still_serve():
-    """2.4% of a day's requests were, with a power loss near capacity."""
-    ours = play(SlotQueue(), backlog=60, load=0.75, seconds=6.0)
-    selfish = play(OnTimeFirst(), backlog=60, load=0.75, seconds=6.0)
-    naive = play(FirstComeFirstServed(), 60, 0.75, 6.0, sheds=False)
+def test_no_request_that_can_be_served_is_lost_after_an_outage():
+    """Such losses were 2.4% of a day's requests.
+
+    They came from a power loss at a load near capacity.
+    """
+    ours = simulate(SlotQueue(), backlog=60, load=0.75, seconds=6.0)
+    on_time_first = simulate(OnTimeFirst(), backlog=60, load=0.75, seconds=6.0)
+    fifo = simulate(FirstComeFirstServed(), 60, 0.75, 6.0, sheds=False)
     assert ours["lost"] <= 2
-    assert selfish["lost"] >= 10
-    assert ours["on time"] > 2 * naive["on time"]
+    assert on_time_first["lost"] >= 10
+    assert ours["on time"] > 2 * fifo["on time"]
 
 
-def test_in_a_burst_callers_get_their_answers_on_time():
-    """In order of arrival all but 9 of 346 are late, up to 1.8 s.
+def test_callers_get_their_answers_on_time_in_a_burst():
+    """In order of arrival all but 9 of 346 requests are late, by up to 1.8 s.
 
-    The price: a sixth of the callers is refused, where none would be.
+    In exchange a sixth of the callers is refused, instead of none.
     """
-    ours = play(SlotQueue(), backlog=0, load=1.3, seconds=6.0)
-    naive = play(FirstComeFirstServed(), 0, 1.3, 6.0, sheds=False)
+    ours = simulate(SlotQueue(), backlog=0, load=1.3, seconds=6.0)
+    fifo = simulate(FirstComeFirstServed(), 0, 1.3, 6.0, sheds=False)
     served = ours["on time"] + ours["late"]
     assert ours["on time"] > 0.75 * served
-    assert ours["on time"] > 10 * naive["on time"]
+    assert ours["on time"] > 10 * fifo["on time"]
     assert ours["lost"] < served / 4
 
 
-def test_a_long_overload_is_no_worse_for_anybody_than_order_of_arrival():
+def test_long_overload_loses_fewer_requests_than_order_of_arrival():
     """In order of arrival 3 in 100 are on time, and more are lost."""
-    ours = play(SlotQueue(), backlog=0, load=1.15, seconds=20.0)
-    naive = play(FirstComeFirstServed(), 0, 1.15, 20.0, sheds=False)
-    assert ours["on time"] > 10 * naive["on time"]
-    assert ours["lost"] < naive["lost"]
+    ours = simulate(SlotQueue(), backlog=0, load=1.15, seconds=20.0)
+    fifo = simulate(FirstComeFirstServed(), 0, 1.15, 20.0, sheds=False)
+    assert ours["on time"] > 10 * fifo["on time"]
+    assert ours["lost"] < fifo["lost"]
 
 
-def test_at_half_load_all_are_on_time():
-    ours = play(SlotQueue(), backlog=0, load=0.5, seconds=6.0)
+def test_nearly_all_requests_are_on_time_at_half_load():
+    ours = simulate(SlotQueue(), backlog=0, load=0.5, seconds=6.0)
     assert ours["late"] + ours["lost"] <= 0.02 * ours["on time"]
