--- a/notchhoist/flows/decisions/__init__.py
+++ b/notchhoist/flows/decisions/__init__.py
@@ -1,14 +1,15 @@
-"""Pure decisions: who gets a flow, who gets a slot, who is told no.
+"""Pure decisions: placement of new flows, slot allocation and load shedding.
 
-Nothing here sends anything or reads a clock. From the top down:
+These modules send nothing and read no clock. From the top down:
 
 * ``splitting``: which service of a route gets a new flow.
-* ``reaching``: what it is worth to stay in the own zone.
-* ``placing``: pure functions that choose a backend server.
+* ``reaching``: how much a server of a remote zone must be better.
+* ``placing``: selection of a backend server.
 * ``attempts``: how many servers are asked for a free slot.
-* ``failing``: how well a backend server answers, by the times of its answers.
+* ``failing``: detection of failing backend servers by their answer times.
 * ``completeness``: whether every server that may hold a flow is known.
+* ``ending``: whether a backend server with a silent agent has exited.
 * ``holding``: requests that wait for a slot; ``queueing``: who gets one.
-* ``bearing``: how many new flows a cold backend server gets.
-* ``early``: packets that come before a balancer knows any route.
+* ``bearing``: rate limit on new flows to a cold backend server.
+* ``early``: packets that arrive before a balancer knows any route.
 """
--- a/notchhoist/flows/decisions/bearing.py
+++ b/notchhoist/flows/decisions/bearing.py
@@ -1,10 +1,11 @@
-"""How many new flows a backend server gets while it is cold.
-
-The load it answers: servers that have just started, or whose availability zone
-is used again, bear a few new flows a second, and several balancers send them
-theirs without knowing of each other. Only the agent beside a server sees the
-sum, so it counts, in every span of a second, and hands back at once what would
-be too much; balancers then leave the server alone until it bears the next one.
+"""Rate limit on new flows to a backend server in slow start.
+
+A cold server, one that has just started or whose availability zone is used
+again, accepts only a few new flows a second. Several balancers send it flows
+without knowing of each other. Only the agent beside the server sees the sum,
+so the agent counts new flows in a sliding window of about one second and
+returns the excess at once. Balancers then send the server no new flow until it
+may get the next one.
 """
 
 import collections
@@ -13,13 +14,13 @@
 from msgspec import Struct, field
 
 WINDOW_S = 1.05
-"""Length of the span in which flows are counted, seconds: the platform counts
-in each second, and a packet may take a moment longer to the server than the
-next one."""
+"""Length of the sliding window, seconds. The platform counts in windows of one
+second, and a packet may take slightly longer to the server than the next one,
+which moves flows closer together."""
 
 
 class SlidingCount(Struct, eq=False):
-    """Counts what happened in the last ``WINDOW_S``, wherever that begins.
+    """Counts events in a sliding window of ``WINDOW_S``.
 
     Examples:
         >>> count = SlidingCount()
@@ -29,19 +30,27 @@
         0.15
         >>> count.pause_s(2, 11.1)
         0.0
+
+    Attributes:
+        times: Times of the events, the oldest first, seconds; old ones are
+            dropped by ``pause_s``.
     """
 
     times: "collections.deque[float]" = field(default_factory=collections.deque)
 
     def note(self, now: float) -> None:
-        """Counts one."""
+        """Counts one event.
+
+        Args:
+            now: Runtime clock, seconds.
+        """
         self.times.append(now)
 
     def pause_s(self, most: int, now: float) -> float:
-        """Returns when one more is allowed, seconds from now; 0 for at once.
+        """Returns the time until one more event is allowed, seconds; 0 for now.
 
         Args:
-            most: How many are allowed in one span.
+            most: Events that are allowed in one window.
             now: Runtime clock, seconds.
         """
         while self.times and now - self.times[0] >= WINDOW_S:
@@ -55,33 +64,36 @@
 
 
 def cold_limit(per_s: float) -> int:
-    """Returns how many new flows a cold server gets in one span.
+    """Returns how many new flows a cold server gets in one window.
 
-    What it bears and no more, though the platform allows a share above it: a
-    second agent life beside the same server, which knows nothing of the first,
-    then stays within what is allowed for both together.
+    This is the configured rate, without the overage that the platform allows
+    above it. The overage is left for an agent that restarts beside the same
+    server and does not know what its predecessor forwarded.
 
     Examples:
         >>> cold_limit(6.0), cold_limit(0.5)
         (6, 1)
+
+    Args:
+        per_s: New flows that the server accepts in a second.
     """
     return max(1, math.floor(per_s))
 
 
 def first_limit(per_s: float, overage: float, slack: float) -> int:
-    """Returns the limit for the first span of an agent's life.
+    """Returns the limit for the first window after the start of an agent.
 
-    A former life of the agent may have handed over as many as ``cold_limit``
-    in the same second.
+    The agent's previous incarnation may have forwarded up to ``cold_limit``
+    flows in the same second.
 
     Examples:
         >>> first_limit(6.0, 1.5, 5.0), first_limit(20.0, 1.5, 5.0)
         (6, 14)
 
     Args:
-        per_s: New flows that the server bears in a second.
-        overage: Factor up to which more are allowed.
-        slack: New flows that are allowed besides.
+        per_s: New flows that the server accepts in a second.
+        overage: Factor by which the platform lets the rate be exceeded.
+        slack: Number of new flows that the platform allows on top of that.
     """
     allowed = math.floor(per_s * overage + slack) - 1
     limit = cold_limit(per_s)
--- a/notchhoist/flows/decisions/completeness.py
+++ b/notchhoist/flows/decisions/completeness.py
@@ -1,10 +1,10 @@
-"""Whether a balancer may miss backend servers that hold flows.
+"""Whether a balancer may be unaware of backend servers that hold flows.
 
-A flow that every known agent denies is dead only if no other agent could hold
-it. Servers that the platform publishes are known once its store has been read
-after the flow's packet came. Two kinds of servers are not published although
-they live: those whose entries lapsed while the store was away, and those that
-a balancer which has just started never saw listed.
+A flow that every known agent reports absent is lost only if no other agent
+could hold it. Servers that the platform publishes are known once its store has
+been read after the flow's packet arrived. Two kinds of running servers are not
+published: those whose entries expired during an outage of the store, and those
+that a balancer which has just started has never seen listed.
 """
 
 from collections.abc import Sequence
@@ -12,13 +12,13 @@
 from notchhoist.flows.model.fleet import Server
 
 RETURN_S = 2.2
-"""An entry that lapsed while the store was away is back within about 2 s of the
-store's return; a tenth more for clocks and delays."""
+"""An entry that expired during an outage of the store is announced again within
+about 2 s of its recovery; a tenth more covers clock differences and delays."""
 
 
 LEAST_AWAY_S = 0.3
-"""A process that ends is away for at least this long until it is started again
-and answers, seconds."""
+"""Shortest time from the exit of a process until its successor answers,
+seconds."""
 
 
 def saw_all_since_power(
@@ -26,19 +26,20 @@
 ) -> bool:
     """Tells whether an agent has seen every flow of its server begin.
 
-    Where every server of a service was still slow from its start when it was
-    first seen, the whole service has started anew, and its flows are no older
-    than the first balancer that could place one. An agent that had started by
-    then has seen them all, and so has one that came a moment later: another
-    before it could not have ended in between.
+    If every server of a service was in slow start when it was first seen, the
+    whole service has restarted, and its flows are no older than the first
+    balancer that could place one. An agent that had started by then has seen
+    them all. So has one that started at most ``LEAST_AWAY_S`` later: no
+    previous incarnation of it can have exited in between.
 
-    Guards against trying a packet of each lost flow at every server of its
-    service, while the same hosts have a whole service's callers to place.
+    Without this rule a sample packet of each lost flow goes to every server of
+    its service, while the same hosts place all callers of the service.
 
     Args:
         servers: Known servers of the service.
         started_at: When the agent started, seconds.
-        placing_since: When any balancer may first have placed a flow, seconds.
+        placing_since: Earliest time at which any balancer may have placed a
+            flow, seconds.
     """
     if started_at > placing_since + LEAST_AWAY_S:
         return False
@@ -46,11 +47,11 @@
 
 
 def is_settled(whole_since: float, store_failed_at: float, now: float) -> bool:
-    """Tells whether what lapsed before the list was read must be back on it.
+    """Tells whether entries that expired before the list was read are back.
 
-    From then on a failing store hides nothing: a server that was listed once
-    is kept when its entry lapses, and one that is new is told by the next
-    confirmation, since it names every change in between.
+    Once this holds, a later failure of the store hides no server: a server that
+    was listed once is kept when its entry expires, and a new one is reported
+    with the next confirmation, which contains every change since the last.
 
     Examples:
         >>> is_settled(whole_since=0.0, store_failed_at=1.0, now=4.0)
@@ -59,7 +60,7 @@
         False
 
     Args:
-        whole_since: Since when every change to the list is known, seconds.
+        whole_since: Time since when every change to the list is known, seconds.
         store_failed_at: When the store last failed this balancer, seconds.
         now: Runtime clock, seconds.
     """
@@ -72,19 +73,21 @@
     store_failed_at: float,
     now: float,
 ) -> bool:
-    """Tells whether every living server of a service is among the known ones.
+    """Tells whether every running server of a service is known.
 
-    Where all of them were still slow from their start when they were first
-    seen, the whole service has started anew, and nothing older than that is
-    left. This stays so when they have warmed up: balancers of 0.038 of a core
-    start 2.4 s after a loss of power, servers are slow for 2 s, and the callers
-    of dead flows had waited 3.3 s for their reset, 1.1 s longer than needed.
-    Just after an outage that proves nothing: the list may hold the new ones
-    alone, and those that lived on come back to it later.
+    If all known servers were in slow start when they were first seen, the whole
+    service has restarted, and no older server is left. This holds even after
+    they have warmed up: balancers with 0.038 of a core start 2.4 s after a
+    power loss, while servers are in slow start for 2 s. If only servers still
+    in slow start counted, callers of lost flows would wait 3.3 s for their
+    reset, 1.1 s longer than necessary.
+
+    Just after an outage of the store this proves nothing: the list may contain
+    only the new servers, and older ones that are still running return later.
 
     Args:
         servers: Known servers of the service.
-        settled: The list was settled once; see ``is_settled``.
+        settled: The list has been stable once; see ``is_settled``.
         store_failed_at: When the store last failed this balancer, seconds.
         now: Runtime clock, seconds.
     """
--- a/notchhoist/flows/decisions/early.py
+++ b/notchhoist/flows/decisions/early.py
@@ -1,9 +1,10 @@
-"""Callers' packets that come before a balancer knows where anything goes.
+"""Callers' packets that arrive before a balancer knows any route.
 
-After an outage of everything the routers send to balancers that have started
-and have not read the platform's store yet. A caller sends three copies of an
-opening packet in 0.6 s and waits in silence until 1.4 s: a copy that is thrown
-away meanwhile costs it the whole try, and it has three.
+After a full outage, routers send packets to balancers that have started and
+have not read the platform's store yet. A caller sends three copies of an
+opening packet within 0.6 s and sends nothing more until its timeout at 1.4 s. A
+copy that is dropped meanwhile costs the caller one of its three connection
+attempts.
 """
 
 import collections
@@ -14,21 +15,23 @@
 from notchhoist.flows.model.segments import Segment
 from notchhoist.flows.model.wishes import TRY_S
 
-LAST_COPY_S = 0.6
-"""The last copy of an opening packet follows the first after this, seconds; a
-try whose copies all came before a balancer listened is not seen."""
+LAST_RETRANSMISSION_S = 0.6
+"""Time from the first copy of an opening packet to the last, seconds. A
+connection attempt whose copies all arrive before a balancer listens is not
+seen."""
 
-ANSWER_S = 0.05
-"""An opening packet is dropped so long before its caller gives up, seconds: a
-server's acceptance takes that long to come back through a crowded host."""
+ACCEPTANCE_RETURN_S = 0.05
+"""An opening packet is dropped this long before its caller's timeout, seconds:
+a server's acceptance takes that long to return through a busy host."""
 
 DATA_KEPT_S = 0.4
-"""Other packets are kept for so long, seconds: their senders send copies after
-0.2 s and 0.4 s, and each copy takes the place of the one before."""
+"""Other packets are kept this long, seconds: their senders retransmit them
+after 0.2 s and 0.4 s, and each retransmission replaces the previous packet."""
 
-PACKETS_MAX = 4000
-"""Packets kept at the most, one a flow: at 1.3 KB each 5 MB of the 128 MB that
-the smallest host has. 33,000 new flows a second on 580 hosts are 57 each."""
+EARLY_PACKETS_MAX = 4000
+"""Most packets that are kept, one per flow: at 1.3 KB each they take 5 MB of
+the 128 MB of the smallest host. 33,000 new flows a second on 580 hosts are 57
+for each host."""
 
 
 class EarlyPacket(Struct, frozen=True):
@@ -36,82 +39,96 @@
 
     Attributes:
         segment: The packet.
-        came_at: When it came, seconds.
+        received_at: When it arrived, seconds.
     """
 
     segment: Segment
-    came_at: float
+    received_at: float
 
-    def ends_at(self) -> float:
-        """Returns when nobody waits for it any more, seconds."""
+    def expires_at(self) -> float:
+        """Returns when its caller no longer waits for it, seconds."""
         if not self.segment.opens:
-            return self.came_at + DATA_KEPT_S
-        return self.came_at + TRY_S - ANSWER_S - self.segment.waited_s
+            return self.received_at + DATA_KEPT_S
+        return (
+            self.received_at
+            + TRY_S
+            - ACCEPTANCE_RETURN_S
+            - self.segment.waited_s
+        )
 
 
 class EarlyPackets(Struct, eq=False):
-    """Keeps the newest packet of each flow, the oldest flow first.
+    """Buffers the newest packet of each flow until routes are known.
 
     Attributes:
-        by_flow: The packets.
-        known_from: Since when callers' packets have been seen here, seconds.
+        by_flow: The packets by the key of their flow, the oldest flow first.
+        receiving_since: When this balancer began to receive callers' packets,
+            seconds.
     """
 
     by_flow: collections.OrderedDict[bytes, EarlyPacket] = field(
         default_factory=collections.OrderedDict
     )
 
-    known_from: float = float("inf")
+    receiving_since: float = float("inf")
 
     def note_start(self, now: float) -> None:
-        """Notes that callers' packets are seen from now on, if not before."""
-        self.known_from = min(self.known_from, now)
+        """Records that callers' packets are received; the first call counts."""
+        self.receiving_since = min(self.receiving_since, now)
 
     def may_be_retry(self, since: float) -> bool:
-        """Tells whether a try that began at a time may follow an unseen one.
+        """Tells whether a connection attempt may follow one that was not seen.
 
         Args:
-            since: When its first packet was sent, seconds.
+            since: When the first packet of the attempt was sent, seconds.
         """
-        return since - TRY_S + LAST_COPY_S < self.known_from
+        return since - TRY_S + LAST_RETRANSMISSION_S < self.receiving_since
 
     def keep(self, segment: Segment, now: float) -> bool:
-        """Keeps a packet; tells whether there was room for it."""
+        """Keeps a packet, or forgets a flow that its caller resets.
+
+        Args:
+            segment: The packet.
+            now: Runtime clock, seconds.
+
+        Returns:
+            Whether there was room for the packet.
+        """
         if segment.resets:
             self.by_flow.pop(segment.flow, None)
             return True
         known = segment.flow in self.by_flow
-        if not known and len(self.by_flow) >= PACKETS_MAX:
-            self._drop_ended(now)
-            if len(self.by_flow) >= PACKETS_MAX:
+        if not known and len(self.by_flow) >= EARLY_PACKETS_MAX:
+            self._drop_expired(now)
+            if len(self.by_flow) >= EARLY_PACKETS_MAX:
                 return False
         self.by_flow[segment.flow] = EarlyPacket(segment, now)
         return True
 
-    def _drop_ended(self, now: float) -> None:
-        ended = [
+    def _drop_expired(self, now: float) -> None:
+        expired = [
             flow
             for flow, early in self.by_flow.items()
-            if now >= early.ends_at()
+            if now >= early.expires_at()
         ]
-        for flow in ended:
+        for flow in expired:
             del self.by_flow[flow]
 
     def take(self, now: float) -> list[Segment]:
-        """Returns the packets that callers still wait for, and forgets all.
+        """Returns the packets that callers still wait for; clears the buffer.
 
-        An opening packet says that its caller has waited for as long as it was
-        kept besides.
+        The time that an opening packet was kept is added to the waiting time of
+        its caller.
         """
-        self._drop_ended(now)
+        self._drop_expired(now)
         waiting = list(self.by_flow.values())
         self.by_flow.clear()
-        return [_aged(early, now) for early in waiting]
+        return [_with_current_age(early, now) for early in waiting]
 
 
-def _aged(early: EarlyPacket, now: float) -> Segment:
+def _with_current_age(early: EarlyPacket, now: float) -> Segment:
     segment = early.segment
     if not segment.opens:
         return segment
-    waited_s = segment.waited_s + now - early.came_at
+    waited_s = segment.waited_s + now - early.received_at
     return replace(segment, waited_s=waited_s)
--- a/notchhoist/flows/decisions/ending.py
+++ b/notchhoist/flows/decisions/ending.py
@@ -1,46 +1,52 @@
-"""Whether a backend server has ended whose agent says nothing any more.
+"""Whether a backend server with a silent agent has exited.
 
-A host that is shut down in an orderly way refuses connections, and so does one
-whose agent is being restarted beside a living server.
+A refused connection alone is no proof: a host that is shut down in an orderly
+way refuses connections, and so does one whose agent restarts beside a running
+server.
 """
 
 from notchhoist.flows.decisions.completeness import RETURN_S
 from notchhoist.flows.model.fleet import Server
 
 LEFT_S = 3.0
-"""A server that announced its end and whose entry has vanished has ended if its
-host has refused connections for so long, seconds. It must be longer than an
-agent takes to start on the thinnest host after a loss of power, and shorter
-than searches wait for silent agents."""
+"""A server that announced its drain and whose entry has expired has exited if
+its host has refused connections for this long, seconds. This must be longer
+than an agent takes to start on the host with the least CPU after a power loss,
+and shorter than searches wait for silent agents."""
 
 GONE_S = 4.0
-"""A server that announced nothing has ended if its host has refused connections
-for so long after its entry vanished, seconds: longer than a killed process is
-away."""
+"""A server that announced nothing has exited if its host has refused
+connections for this long after its entry expired, seconds: longer than a killed
+process takes to restart."""
 
-CHECKED_S = 1.0
-"""How old the last refusal may be, seconds."""
+REFUSAL_MAX_AGE_S = 1.0
+"""Longest time since the last check of the host, seconds; an older refusal does
+not count."""
 
 
 def has_announced(server: Server) -> bool:
-    """Tells whether a server has said that it leaves."""
+    """Tells whether a server has announced that it drains.
+
+    An entry that is treated as draining because it could not be read does not
+    count.
+    """
     return server.entry.draining and not server.entry.withdrawn
 
 
 def has_ended(server: Server, store_failed_at: float, now: float) -> bool:
-    """Tells whether a server has ended together with its agent.
+    """Tells whether a server has exited together with its agent.
 
-    Its entry has vanished and did not lapse in an outage of the store, and
-    nobody listens at its host where its agent was.
+    This is so if its entry is gone, not only because of an outage of the store,
+    and nothing listens at the agent's address on its host.
 
     Examples:
         >>> from notchhoist.flows.model.fleet import ServerEntry
         >>> entry = ServerEntry("s", "hallbook", "10.0.0.1", "a", 3, False)
-        >>> gone = Server(entry, 1, 0.0, unlisted_at=5.0, refused_since=5.0)
-        >>> gone.checked_at = 9.0
-        >>> has_ended(gone, 0.0, 9.0), has_ended(gone, 4.0, 9.0)
+        >>> exited = Server(entry, 1, 0.0, unlisted_at=5.0, refused_since=5.0)
+        >>> exited.checked_at = 9.0
+        >>> has_ended(exited, 0.0, 9.0), has_ended(exited, 4.0, 9.0)
         (True, False)
-        >>> has_ended(gone, 0.0, 10.5)  # Nobody has looked since.
+        >>> has_ended(exited, 0.0, 10.5)  # The last check is too old.
         False
 
     Args:
@@ -50,9 +56,9 @@
     """
     if server.listed or server.refused_since is None:
         return False
-    if now - server.checked_at > CHECKED_S:
+    if now - server.checked_at > REFUSAL_MAX_AGE_S:
         return False
-    # What lapsed in an outage is back soon after it.
+    # An entry that expired in a store outage is announced again soon after it.
     since = max(server.refused_since, store_failed_at + RETURN_S)
     if has_announced(server):
         return now - since >= LEFT_S
--- a/notchhoist/flows/decisions/tests/test_bearing.py
+++ b/notchhoist/flows/decisions/tests/test_bearing.py
@@ -1,4 +1,4 @@
-"""What a cold server gets, in every span of a second."""
+"""Tests of the rate limit on new flows to a cold server."""
 
 import math
 
@@ -13,21 +13,22 @@
 
 
 def busiest_second(times):
-    """Returns the most that fall in one second, wherever it begins."""
+    """Returns the highest number of events in any window of one second."""
     return max(
         (sum(start <= time < start + 1.0 for time in times) for start in times),
         default=0,
     )
 
 
-def handed_over(arrivals, most):
+def forwarded_times(arrivals, most):
+    """Returns the arrivals that a limit lets through."""
     count = SlidingCount()
-    handed = []
+    forwarded = []
     for time in arrivals:
         if not count.pause_s(most, time):
             count.note(time)
-            handed.append(time)
-    return handed
+            forwarded.append(time)
+    return forwarded
 
 
 arrivals = st.lists(
@@ -37,8 +38,8 @@
 
 @settings(deadline=None, max_examples=150)
 @given(arrivals, st.integers(1, 20))
-def test_no_span_of_a_second_holds_more_than_the_limit(times, most):
-    assert busiest_second(handed_over(times, most)) <= most
+def test_no_window_of_a_second_exceeds_the_limit(times, most):
+    assert busiest_second(forwarded_times(times, most)) <= most
 
 
 @settings(deadline=None, max_examples=150)
@@ -48,21 +49,21 @@
     st.sampled_from([1.0, 6.0, 20.0]),
     st.sampled_from([(1.5, 5.0), (1.0, 3.0), (2.0, 0.0)]),
 )
-def test_two_lives_of_an_agent_keep_the_bound_together(
+def test_two_incarnations_of_an_agent_stay_within_the_limit(
     times, killed_at, per_s, bounds
 ):
-    """Each agent life counts only what it has handed over itself."""
+    """Each incarnation counts only the flows that it has forwarded itself."""
     overage, slack = bounds
     before, after = times[:killed_at], times[killed_at:]
-    first = handed_over(before, cold_limit(per_s))
-    born = after[0] if after else 0.0
-    early = [time for time in after if time < born + 1.05]
-    second = handed_over(early, first_limit(per_s, overage, slack))
+    first = forwarded_times(before, cold_limit(per_s))
+    started_at = after[0] if after else 0.0
+    early = [time for time in after if time < started_at + 1.05]
+    second = forwarded_times(early, first_limit(per_s, overage, slack))
     allowed = max(per_s * overage + slack, 1.0)
     assert busiest_second(first + second) <= math.floor(allowed)
 
 
-def test_the_pause_ends_when_one_more_is_allowed():
+def test_pause_ends_when_one_more_event_is_allowed():
     count = SlidingCount()
     for time in (0.0, 0.1, 0.2):
         count.note(time)
--- a/notchhoist/flows/decisions/tests/test_early.py
+++ b/notchhoist/flows/decisions/tests/test_early.py
@@ -1,4 +1,4 @@
-"""Packets that come before routes are known: kept while they are of use."""
+"""Tests of the buffer of packets that arrive before routes are known."""
 
 import pytest
 from msgspec.structs import replace
@@ -6,7 +6,7 @@
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.decisions.early import (
     DATA_KEPT_S,
-    PACKETS_MAX,
+    EARLY_PACKETS_MAX,
     EarlyPackets,
 )
 from notchhoist.flows.model import notes
@@ -21,7 +21,7 @@
     return request(flags=SYN, port=port, ack=copies)
 
 
-def test_the_newest_copy_is_kept_and_grows_older():
+def test_newest_copy_is_kept_and_its_waiting_time_grows():
     early = EarlyPackets()
     early.keep(opening(), 10.0)
     early.keep(opening(copies=1), 10.2)
@@ -30,7 +30,7 @@
     assert not early.take(10.5)
 
 
-def test_a_packet_is_kept_while_its_caller_waits_for_the_answer():
+def test_packet_is_kept_while_its_caller_waits_for_the_answer():
     early = EarlyPackets()
     early.keep(opening(port=1), 10.0)
     early.keep(request(port=2, data=b"x"), 10.0)
@@ -43,25 +43,25 @@
     assert not early.take(10.0 + TRY_S)
 
 
-def test_a_caller_that_resets_its_flow_waits_no_longer():
+def test_packet_of_a_flow_that_its_caller_resets_is_dropped():
     early = EarlyPackets()
     early.keep(opening(), 10.0)
     early.keep(request(flags=crafting.RST, port=1), 10.1)
     assert not early.take(10.2)
 
 
-def test_packets_are_kept_within_bounds_and_ended_ones_make_room():
+def test_buffer_is_bounded_and_expired_packets_make_room():
     early = EarlyPackets()
     flows = [
         replace(opening(), flow=number.to_bytes(12))
-        for number in range(PACKETS_MAX + 1)
+        for number in range(EARLY_PACKETS_MAX + 1)
     ]
     kept = [early.keep(segment, 10.0) for segment in flows]
     assert kept.count(False) == 1
     assert early.keep(flows[-1], 10.0 + TRY_S)
 
 
-def test_only_tries_whose_former_one_was_unseen_may_be_retries():
+def test_attempt_may_be_a_retry_only_if_a_previous_one_was_unseen():
     early = EarlyPackets()
     early.note_start(10.0)
     early.note_start(20.0)
@@ -80,8 +80,8 @@
     return node.take_effects()
 
 
-def test_an_opening_that_comes_too_early_is_offered_once_routes_are_known():
-    """It was thrown away, and cost its caller one of three tries."""
+def test_early_opening_packet_is_offered_once_routes_are_known():
+    """If it is dropped, its caller loses one of three connection attempts."""
     node = balancer()
     node.tick(10.0)
     assert not node.on_caller(opening(copies=2), 10.1)
@@ -93,7 +93,7 @@
     assert node.board.records.counters[Count.KEPT_EARLY] == 1
 
 
-def test_an_early_packet_of_an_open_flow_is_searched_for_at_once():
+def test_early_packet_of_an_open_flow_starts_a_search_at_once():
     node = balancer()
     node.on_caller(request(port=4, data=b"x"), 10.1)
     publish(node, 10.2)
--- a/notchhoist/flows/decisions/tests/test_failing.py
+++ b/notchhoist/flows/decisions/tests/test_failing.py
@@ -1,4 +1,7 @@
-"""An agent: servers that fail behind a good health check look slow."""
+"""Tests of an agent that reports failing servers as slow.
+
+The servers fail requests while their health checks pass.
+"""
 
 import pytest
 
@@ -24,8 +27,8 @@
 )
 
 
-def play_answers(node, times_s, reset_every=0):
-    """Lets one request after the other be answered; returns the told pace."""
+def reported_service_time_ms(node, times_s, reset_every=0):
+    """Answers requests one by one; returns the reported service time, ms."""
     now = START
     for number, took_s in enumerate(times_s):
         port = 100 + number
@@ -33,54 +36,60 @@
         ask(node, port, now)
         now += took_s
         if reset_every and number % reset_every == 0:
-            broken = answer(flags=RST, seq=SERVER_SEQ + 1, port=port)
-            node.on_backend(broken, now)
+            server_reset = answer(flags=RST, seq=SERVER_SEQ + 1, port=port)
+            node.on_backend(server_reset, now)
         else:
             reply(node, port, now)
     node.on_peer(BALANCER, LoadAsk(3), now + 1.0)
     return node.load(now + 2.0).pace_ms
 
 
-def test_a_server_that_fails_half_of_its_requests_at_once_looks_slow():
-    """It looked twice as fast and drew ever more flows."""
-    well = play_answers(agent(slots=3), [0.05] * 40)
+def test_server_that_fails_half_of_its_requests_quickly_looks_slow():
+    """By its mean answer time it looks twice as fast and attracts flows."""
+    healthy_ms = reported_service_time_ms(agent(slots=3), [0.05] * 40)
     node = agent(slots=3)
-    ill = play_answers(node, [0.05, 0.001] * 20)
-    assert 49 <= well <= 50
-    assert ill > 3 * well
+    failing_ms = reported_service_time_ms(node, [0.05, 0.001] * 20)
+    assert 49 <= healthy_ms <= 50
+    assert failing_ms > 3 * healthy_ms
     assert node.board.pace_s == pytest.approx(0.05)
 
 
-def test_a_server_that_resets_half_of_its_requests_looks_slow():
-    assert play_answers(agent(slots=3), [0.05] * 40, reset_every=2) > 150
+def test_server_that_resets_half_of_its_requests_looks_slow():
+    assert (
+        reported_service_time_ms(agent(slots=3), [0.05] * 40, reset_every=2)
+        > 150
+    )
 
 
-def test_requests_that_were_never_answered_make_a_server_look_slow():
+def test_server_that_never_answers_looks_slow():
     node = agent(slots=3)
-    play_answers(node, [0.05] * 5)
+    reported_service_time_ms(node, [0.05] * 5)
     before = node.load(START + 5.0).pace_ms
     for port in range(200, 210):
         accept(node, port, START + 6.0)
         ask(node, port, START + 6.0)
-        gone = request(flags=RST, seq=10, ack=SERVER_SEQ + 1, port=port)
-        send(node, gone, NoteKind.HELD, START + 8.0)
+        caller_reset = request(flags=RST, seq=10, ack=SERVER_SEQ + 1, port=port)
+        send(node, caller_reset, NoteKind.HELD, START + 8.0)
     assert node.load(START + 9.0).pace_ms > 3 * before
 
 
-def test_a_server_that_is_well_again_looks_well_again():
+def test_server_that_recovers_no_longer_looks_slow():
     node = agent(slots=3)
-    ill = play_answers(node, [0.05, 0.001] * 20)
+    failing_ms = reported_service_time_ms(node, [0.05, 0.001] * 20)
     for port in range(300, 350):
         accept(node, port, START + 20.0)
         ask(node, port, START + 20.0)
         reply(node, port, START + 20.05)
-    assert node.load(START + 30.0).pace_ms < ill / 3
+    assert node.load(START + 30.0).pace_ms < failing_ms / 3
     outcomes = [item.outcome for item in node.board.records.decisions]
     assert outcomes.index("failing") < outcomes.index("well again")
 
 
 def test_quick_answers_on_another_address_are_no_failures():
-    """Requests that only test a route take 1.5 ms where others take 44 ms."""
+    """Typical times differ by service address.
+
+    Requests that only test a route take 1.5 ms where others take 44 ms.
+    """
     node = agent(slots=3)
     for number in range(40):
         service_port = 443 if number % 2 else 8443
@@ -98,19 +107,20 @@
     assert node.gate.times.failing < 0.05
 
 
-def test_one_reset_of_a_request_is_enough_to_try_a_server_with_few():
-    """Each further one broke a request that may not be sent again."""
+def test_one_reset_request_limits_the_flows_of_a_server():
+    """Each further reset breaks a request that must not be sent again."""
     node = agent(slots=2)
     accept(node, 1)
     ask(node, 1)
     node.on_backend(answer(flags=RST, seq=SERVER_SEQ + 1, port=1), START)
     assert node.gate.times.is_failing
     free = node.offers.vacancies.has_free
-    tries = [free(START + tick / 10) for tick in range(30)]
-    assert sum(tries) == 3
+    offered = [free(START + tick / 10) for tick in range(30)]
+    assert sum(offered) == 3
 
 
-def test_data_that_crosses_the_end_of_its_flow_says_nothing_of_the_server():
+def test_reset_after_the_server_closed_the_flow_is_no_failure():
+    """Data that crosses the server's close is reset by a healthy server."""
     node = agent(slots=2)
     accept(node, 1)
     node.on_backend(answer(flags=FIN, seq=SERVER_SEQ + 1, port=1), START)
