--- a/notchhoist/flows/boards/agent_board.py
+++ b/notchhoist/flows/boards/agent_board.py
@@ -17,15 +17,15 @@
         service: Service of the backend server.
         tag: Tag of that service.
         started_at: When the agent started, seconds.
-        sees_all: The agent started together with the whole system, so it has
-            seen every flow of its server begin.
+        sees_all: The agent started together with the whole system, so it
+            has seen every flow of its server begin.
         flows: Flows of the backend server, by key.
         slots: Requests that the backend server works on at once; 0 if no
             balancer has reported it yet.
         active: Flows whose request holds a slot.
         waiting: Requests that are queued for a slot, by flow.
-        promised: Slot reservations for the first requests of accepted flows: by
-            flow, when the reservation expires, seconds.
+        promised: Slot reservations for the first requests of accepted flows:
+            when each reservation expires, by flow, seconds.
         pace_s: Smoothed service time, seconds; 0 if unknown.
         backend_gone: The backend server no longer listens.
         refused_since: Since when the backend server has accepted no connection,
@@ -102,9 +102,9 @@
     def rests(self, flow: bytes, held: HeldFlow) -> bool:
         """Tells whether a flow is idle.
 
-        The server has shown it open and has got all its packets. It may be
-        probed by a copy of its last packet, as that neither closes nor resets
-        it.
+        The server has shown it open and has got all its packets. A copy of its
+        last packet may serve as a flow probe, as it neither closes nor resets
+        the flow.
         """
         sample = held.sample
         if sample is None or sample.closes or sample.resets:
--- a/notchhoist/flows/boards/balancer_board.py
+++ b/notchhoist/flows/boards/balancer_board.py
@@ -29,10 +29,10 @@
         closing: The caller has closed the flow.
         asked_since: When the caller began to wait for its first request,
             seconds, or None once that request was forwarded.
-        used_since: When the first packet after the opening one was forwarded,
-            seconds; ``-inf`` for a flow that was found there.
-        inferred: The acceptance was inferred from the caller's packet; no agent
-            has reported it.
+        used_since: When the first packet after the opening one was
+            forwarded, seconds; ``-inf`` for a flow that was found there.
+        inferred: The acceptance was inferred from the caller's packet; no
+            agent has reported it.
     """
 
     server: Server
@@ -103,14 +103,14 @@
         since: When the search started, seconds.
         asked: Hosts of all agents that were asked, each with the tag of the
             service that it was asked for.
-        wide: How many of them serve services that the flow's route does not
-            name.
-        partial: Some agents of such services were not asked, because too many
-            queries were outstanding.
+        wide: How many of them serve services that the flow's route does
+            not name.
+        partial: Some agents of such services were not asked, because too
+            many queries were outstanding.
         silent: Hosts of agents that were sent a sample packet and did not
             report an outcome.
-        denied_at: When every known agent had reported the flow absent, seconds,
-            or None.
+        denied_at: When every known agent had reported the flow absent,
+            seconds, or None.
     """
 
     services: tuple[str, ...]
@@ -158,9 +158,10 @@
         zones: Availability zones that are or were evacuated, by name.
         fleet_known: The list of servers has been read.
         known_since: When the list of servers was first read, seconds.
-        whole_since: Since when every change to the list is known, seconds.
-        placing_since: Earliest time at which any known balancer may have placed
-            a flow, seconds.
+        whole_since: Since when every change to the list is known,
+            seconds.
+        placing_since: Earliest time at which any known balancer may have
+            placed a flow, seconds.
         splits: A route names several services.
         placed: Number of new flows by service, for each route that names
             several, since its weights last changed here.
--- a/notchhoist/flows/decisions/__init__.py
+++ b/notchhoist/flows/decisions/__init__.py
@@ -10,6 +10,6 @@
 * ``completeness``: whether every server that may hold a flow is known.
 * ``ending``: whether a backend server with a silent agent has exited.
 * ``holding``: requests that wait for a slot; ``queueing``: who gets one.
-* ``bearing``: rate limit on new flows to a cold backend server.
+* ``bearing``: the cold bound, a limit on new flows to a server in slow start.
 * ``early``: packets that arrive before a balancer knows any route.
 """
--- a/notchhoist/flows/decisions/bearing.py
+++ b/notchhoist/flows/decisions/bearing.py
@@ -1,4 +1,4 @@
-"""Rate limit on new flows to a backend server in slow start.
+"""The cold bound: a limit on new flows to a backend server in slow start.
 
 A cold server, one that has just started or whose availability zone is used
 again, accepts only a few new flows a second. Several balancers send it flows
--- a/notchhoist/flows/decisions/completeness.py
+++ b/notchhoist/flows/decisions/completeness.py
@@ -1,10 +1,10 @@
 """Whether a balancer may be unaware of backend servers that hold flows.
 
-A flow that every known agent reports absent is lost only if no other agent
+A flow that every known agent reports absent has ended only if no other agent
 could hold it. Servers that the platform publishes are known once its store has
 been read after the flow's packet arrived. Two kinds of running servers are not
-published: those whose entries expired during an outage of the store, and those
-that a balancer which has just started has never seen listed.
+published: those that became unlisted in an outage of the store, and those that
+a balancer which has just started has never seen listed.
 """
 
 from collections.abc import Sequence
@@ -12,8 +12,9 @@
 from notchhoist.flows.model.fleet import Server
 
 RETURN_S = 2.2
-"""An entry that expired during an outage of the store is announced again within
-about 2 s of its recovery; a tenth more covers clock differences and delays."""
+"""A server that became unlisted in an outage of the store is listed again
+within about 2 s of its recovery; a tenth more covers clock differences and
+delays."""
 
 
 LEAST_AWAY_S = 0.3
@@ -32,8 +33,9 @@
     them all. So has one that started at most ``LEAST_AWAY_S`` later: no
     previous incarnation of it can have exited in between.
 
-    Without this rule a sample packet of each lost flow goes to every server of
-    its service, while the same hosts place all callers of the service.
+    Without this rule a sample packet of each flow that has ended is sent to
+    every server of its service, while the same hosts place all callers of the
+    service.
 
     Args:
         servers: Known servers of the service.
@@ -47,10 +49,10 @@
 
 
 def is_settled(whole_since: float, store_failed_at: float, now: float) -> bool:
-    """Tells whether entries that expired before the list was read are back.
+    """Tells whether servers unlisted before the list was read are back.
 
     Once this holds, a later failure of the store hides no server: a server that
-    was listed once is kept when its entry expires, and a new one is reported
+    was listed once is kept when it becomes unlisted, and a new one is reported
     with the next confirmation, which contains every change since the last.
 
     Examples:
@@ -60,7 +62,8 @@
         False
 
     Args:
-        whole_since: Time since when every change to the list is known, seconds.
+        whole_since: Time since when every change to the list is known,
+            seconds.
         store_failed_at: When the store last failed this balancer, seconds.
         now: Runtime clock, seconds.
     """
@@ -79,8 +82,8 @@
     service has restarted, and no older server is left. This holds even after
     they have warmed up: balancers with 0.038 of a core start 2.4 s after a
     power loss, while servers are in slow start for 2 s. If only servers still
-    in slow start counted, callers of lost flows would wait 3.3 s for their
-    reset, 1.1 s longer than necessary.
+    in slow start counted, callers of flows that have ended would wait 3.3 s for
+    their reset, 1.1 s longer than necessary.
 
     Just after an outage of the store this proves nothing: the list may contain
     only the new servers, and older ones that are still running return later.
--- a/notchhoist/flows/decisions/ending.py
+++ b/notchhoist/flows/decisions/ending.py
@@ -9,15 +9,15 @@
 from notchhoist.flows.model.fleet import Server
 
 LEFT_S = 3.0
-"""A server that announced its drain and whose entry has expired has exited if
-its host has refused connections for this long, seconds. This must be longer
-than an agent takes to start on the host with the least CPU after a power loss,
-and shorter than searches wait for silent agents."""
+"""A server that announced its drain and became unlisted has exited if its host
+has refused connections for this long, seconds. This must be longer than an
+agent takes to start on the host with the least CPU after a power loss, and
+shorter than searches wait for silent agents."""
 
 GONE_S = 4.0
 """A server that announced nothing has exited if its host has refused
-connections for this long after its entry expired, seconds: longer than a killed
-process takes to restart."""
+connections for this long after it became unlisted, seconds: longer than a
+killed process takes to restart."""
 
 REFUSAL_MAX_AGE_S = 1.0
 """Longest time since the last check of the host, seconds; an older refusal does
@@ -36,8 +36,8 @@
 def has_ended(server: Server, store_failed_at: float, now: float) -> bool:
     """Tells whether a server has exited together with its agent.
 
-    This is so if its entry is gone, not only because of an outage of the store,
-    and nothing listens at the agent's address on its host.
+    This is so if the server is unlisted, not only because of an outage of the
+    store, and nothing listens at the agent's address on its host.
 
     Examples:
         >>> from notchhoist.flows.model.fleet import ServerEntry
@@ -58,7 +58,7 @@
         return False
     if now - server.checked_at > REFUSAL_MAX_AGE_S:
         return False
-    # An entry that expired in a store outage is announced again soon after it.
+    # Servers that became unlisted in a store outage are listed again soon.
     since = max(server.refused_since, store_failed_at + RETURN_S)
     if has_announced(server):
         return now - since >= LEFT_S
--- a/notchhoist/flows/decisions/placing.py
+++ b/notchhoist/flows/decisions/placing.py
@@ -39,13 +39,13 @@
 NO_PENALTIES: Mapping[str, FarCosts] = {}
 
 LAPSED_S = 2.2
-"""How long a server whose entry expired may still be used, seconds: one that
-runs announces itself again within about 2 s, and one that has exited must get
-no flow after 3 s."""
+"""How long an unlisted server may still be used, seconds: one that runs
+announces itself again within about 2 s, and one that has exited must get no
+flow after 3 s."""
 
 LISTED_MIN_SHARE = 0.5
-"""Servers whose entry expired are used while less than this share of a service
-is listed: an outage of the store also removes entries of running servers."""
+"""Unlisted servers are used while less than this share of a service is listed:
+an outage of the store also removes entries of running servers."""
 
 
 def median(values: Sequence[float]) -> float:
--- a/notchhoist/flows/decisions/queueing.py
+++ b/notchhoist/flows/decisions/queueing.py
@@ -23,10 +23,10 @@
 FULL_LOAD = 1.1
 SPARE_LOAD = 0.9
 """Loads, as new requests per slot and service time. Below ``SPARE_LOAD`` a
-backlog ends, and late requests that would be lost go before those that can be
-on time. Above ``FULL_LOAD`` they don't, and in between they get a share of the
-slots. The margin of a tenth on either side is the error of the smoothed service
-time."""
+backlog ends, and late requests that would otherwise be abandoned go before
+those that can be on time. Above ``FULL_LOAD`` they don't, and in between they
+get a share of the slots. The margin of a tenth on either side is the error of
+the smoothed service time."""
 
 LOAD_WINDOW_S = 1.0
 """Time constant of the decaying count of new requests, seconds: it holds 20
@@ -82,7 +82,9 @@
         return per_s * pace_s / max(1, slots)
 
     def late_share(self, now: float, pace_s: float, slots: int) -> float:
-        """Returns the share of slots for late requests that would be lost.
+        """Returns the share of slots that urgent late requests get.
+
+        A late request is urgent if its caller would abandon it otherwise.
 
         Args:
             now: Runtime clock, seconds.
@@ -187,7 +189,7 @@
 def has_urgent(
     late: Sequence[HeldRequest], now: float, pace_s: float, slots: int
 ) -> bool:
-    """Tells whether a late request is lost unless late ones go first now.
+    """Tells whether a late request is abandoned unless late ones go first now.
 
     Args:
         late: Late requests, ordered by ``safe_start``.
--- a/notchhoist/flows/decisions/tests/test_bearing.py
+++ b/notchhoist/flows/decisions/tests/test_bearing.py
@@ -1,4 +1,4 @@
-"""Tests of the rate limit on new flows to a cold server."""
+"""Tests of the cold bound, the limit on new flows to a cold server."""
 
 import math
 
--- a/notchhoist/flows/decisions/tests/test_placing.py
+++ b/notchhoist/flows/decisions/tests/test_placing.py
@@ -20,7 +20,7 @@
     assert best([]) is None
 
 
-def test_many_entries_that_expire_at_once_are_used_for_a_while():
+def test_many_servers_that_become_unlisted_at_once_are_used_for_a_while():
     """After an outage the store has lost entries of running servers."""
     servers = [server(1), *(server(n, unlisted_at=10.0) for n in (2, 3))]
     assert len(usable(servers, 10.0 + LAPSED_S / 2)) == 3
@@ -32,7 +32,7 @@
     assert not usable(servers, 10.01 + LAPSED_S)
 
 
-def test_single_server_whose_entry_expires_gets_no_flows_at_once():
+def test_single_unlisted_server_gets_no_flows_at_once():
     servers = [server(1), server(2), server(3, unlisted_at=10.0)]
     assert [item.entry.server_id for item in usable(servers, 10.1)] == [
         "s1",
