--- a/notchhoist/flows/boards/agent_board.py
+++ b/notchhoist/flows/boards/agent_board.py
@@ -24,8 +24,8 @@
             balancer has reported it yet.
         active: Flows whose request holds a slot.
         waiting: Requests that are queued for a slot, by flow.
-        promised: Slot reservations for the first requests of accepted flows:
-            when each reservation expires, by flow, seconds.
+        promised: Slot reservations for the first requests of accepted
+            flows: when each reservation expires, by flow, seconds.
         pace_s: Smoothed service time, seconds; 0 if unknown.
         backend_gone: The backend server no longer listens.
         refused_since: Since when the backend server has accepted no connection,
--- a/notchhoist/flows/boards/balancer_board.py
+++ b/notchhoist/flows/boards/balancer_board.py
@@ -31,8 +31,8 @@
             seconds, or None once that request was forwarded.
         used_since: When the first packet after the opening one was
             forwarded, seconds; ``-inf`` for a flow that was found there.
-        inferred: The acceptance was inferred from the caller's packet; no
-            agent has reported it.
+        inferred: The acceptance was inferred from the caller's
+            packet; no agent has reported it.
     """
 
     server: Server
--- a/notchhoist/flows/decisions/reaching.py
+++ b/notchhoist/flows/decisions/reaching.py
@@ -54,8 +54,8 @@
     Attributes:
         flows: Margin in open flows, as a share of their mean number.
         wait: Margin in waiting time, in service times.
-        extra_s: How much longer a round trip to the zone takes, seconds; 0 if
-            that is short or not known.
+        extra_s: How much longer a round trip to the zone takes,
+            seconds; 0 if that is short or not known.
     """
 
     flows: float = REMOTE_FLOWS_MARGIN
