--- a/notchhoist/flows/published/budget.py
+++ b/notchhoist/flows/published/budget.py
@@ -1,8 +1,9 @@
-"""How the time until a change must be in force is divided.
+"""How the propagation deadline of a published change is divided.
 
-What a balancer knows grows as old as a reader's watch lasts, and as it takes to
-ask a reader. Past that it reads by itself, and there is time left for a call
-without an answer and for another one.
+A balancer's view ages while a reader's watch is pending and while the balancer
+queries that reader. A balancer whose view gets older than that reads the store
+by itself. The rest of the deadline covers one call to the store that is not
+answered and its retry.
 """
 
 from msgspec import Struct
@@ -11,11 +12,11 @@
 FRESH_SHARE = 0.6
 ANSWER_SHARE = 0.15
 
-DEFAULT_BOUND_S = 3.0
+DEFAULT_DEADLINE_S = 3.0
 
 
 class Budget(Struct, frozen=True):
-    """The time until a change must be in force.
+    """Divides the time until a published change must be in force.
 
     Examples:
         >>> budget = Budget(3.0)
@@ -23,22 +24,22 @@
         (1.05, 1.8)
 
     Attributes:
-        bound_s: All of it, seconds.
+        deadline_s: Time until a change must be in force, seconds.
     """
 
-    bound_s: float = DEFAULT_BOUND_S
+    deadline_s: float = DEFAULT_DEADLINE_S
 
     @property
     def watch_s(self) -> float:
         """How long the store may hold a reader's watch, seconds."""
-        return WATCH_SHARE * self.bound_s
+        return WATCH_SHARE * self.deadline_s
 
     @property
     def fresh_s(self) -> float:
-        """What was confirmed within this time need not be read, seconds."""
-        return FRESH_SHARE * self.bound_s
+        """Greatest age of a confirmed view that need not be read, seconds."""
+        return FRESH_SHARE * self.deadline_s
 
     @property
     def answer_s(self) -> float:
-        """How long a first call waits beyond a watch's time, seconds."""
-        return ANSWER_SHARE * self.bound_s
+        """How long a first call waits beyond the watch time, seconds."""
+        return ANSWER_SHARE * self.deadline_s
--- a/notchhoist/flows/published/states.py
+++ b/notchhoist/flows/published/states.py
@@ -1,4 +1,4 @@
-"""What a balancer tells an agent of the backend server beside it."""
+"""The state of a backend server that a balancer sends to its agent."""
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard, ZoneState
 from notchhoist.flows.model.fleet import ColdBound, Server
@@ -8,15 +8,16 @@
 
 
 def is_evacuated(board: BalancerBoard, server: Server) -> bool:
-    """Tells whether a server's availability zone is to get no new flows."""
+    """Returns whether a server's availability zone must get no new flows."""
     return server.entry.zone in board.view.evacuated
 
 
 def cold_until(board: BalancerBoard, server: Server) -> float:
-    """Returns when a server is warm for certain, seconds.
+    """Returns when a server's slow start has certainly ended, seconds.
 
-    One whose zone has just been taken back may be cold though its entry does
-    not say so yet; it counts as cold for as long as a start takes.
+    A server may be cold although its entry does not say so yet if the
+    evacuation of its zone was just withdrawn. It counts as cold for the
+    slow-start time.
     """
     zone = board.zones.get(server.entry.zone, _NO_ZONE)
     return max(
@@ -25,23 +26,23 @@
 
 
 def bound_of(board: BalancerBoard, server: Server) -> ColdBound:
-    """Returns what a server bears while it is cold; 0 a second for no bound."""
+    """Returns a server's rate limit while it is cold; 0/s for none."""
     service = server.entry.service
     bound = board.table.cold_bound(service) if board.table else None
     return bound or ColdBound(service, 0.0, 0.0)
 
 
 def borne_per_s(board: BalancerBoard, server: Server, now: float) -> float:
-    """Returns what a server bears because it is cold; 0 for no bound."""
+    """Returns a server's current rate limit, new flows/s; 0 for none."""
     bound = bound_of(board, server)
     return bound.per_s if now < cold_until(board, server) else 0.0
 
 
 def concerns_agent(board: BalancerBoard, server: Server) -> bool:
-    """Tells whether an agent has to know what is published of its server.
+    """Returns whether a server's agent needs the server's published state.
 
-    Most need not: their zone was never evacuated, they are bounded by nothing,
-    they are the first of their id, and they do not leave.
+    Most agents do not: their server's zone was never evacuated, the service has
+    no cold bound, the server has replaced none of its id and is not draining.
     """
     entry = server.entry
     special = entry.zone in board.zones or entry.draining or server.reborn
@@ -49,7 +50,7 @@
 
 
 def state_of(board: BalancerBoard, server: Server, now: float) -> ServerState:
-    """Returns what is published of a server, as its agent should know it."""
+    """Returns the published state of a server for its agent."""
     zone = board.zones.get(server.entry.zone, _NO_ZONE)
     since = zone.evacuated_at
     bound = bound_of(board, server)
