--- a/notchhoist/flows/published/eras.py
+++ b/notchhoist/flows/published/eras.py
@@ -1,9 +1,9 @@
-"""What a balancer knows is carried over a restore of the platform's store.
+"""Preserves a balancer's view over a restore of the platform's store.
 
-A store that comes back from a copy has forgotten the last seconds of what it
-had acknowledged. Whoever wrote that writes it again, so for a moment the store
-knows less than the balancers: its first list of a new era adds to what they
-know, and takes nothing back.
+A store that is restored from a backup has lost the last seconds of the writes
+that it had acknowledged. The writers repeat them, so for a moment the store
+holds less than the balancers know. The first listing of a new era therefore
+adds to the view and removes nothing from it.
 """
 
 from collections.abc import Sequence
@@ -15,21 +15,23 @@
 from notchhoist.flows.model.fleet import ServerEntry
 from notchhoist.flows.model.revisions import count_of, era_of, make_revision
 
-SETTLE_S = 2.5
-"""How long a restored store may lack what its writers write again, seconds:
-they do so within about two, and half a second is left for the list after it."""
+RESTORE_GRACE_S = 2.5
+"""How long a restored store may lack writes that its backup lost, seconds. The
+writers repeat them within about two seconds; half a second is left for the
+listing after that."""
 
 
-def newest_word(known: ServerEntry, entry: ServerEntry) -> ServerEntry:
-    """Returns what counts of a server's first entry in a new era.
+def merge_after_restore(known: ServerEntry, entry: ServerEntry) -> ServerEntry:
+    """Merges a server's first entry in a new era with the known entry.
 
-    The copy may hold an older word than the last one before the restore: a
-    server that has announced its end does not become ready again, and one that
-    has started again is not the former one again.
+    The backup may hold an older entry than the last one before the restore. A
+    server that has announced that it leaves must not become ready again, and a
+    restarted server must not be taken for its former incarnation.
 
     Examples:
         >>> leaving = ServerEntry("s", "hallbook", "10.0.0.1", "a", 3, True)
-        >>> newest_word(leaving, replace(leaving, draining=False)).draining
+        >>> ready = replace(leaving, draining=False)
+        >>> merge_after_restore(leaving, ready).draining
         True
     """
     if 0 < entry.born_ms < known.born_ms:
@@ -40,74 +42,79 @@
     return entry
 
 
-class EraKeeper(Struct, eq=False):
-    """Notices that a new era has begun, and when it has settled.
+class EraTracker(Struct, eq=False):
+    """Detects a new era of the store and the end of its grace period.
 
     Attributes:
-        board: What the balancer knows.
-        settles_at: When the store holds again what it had lost, seconds.
-        unsettled: No whole list has been taken since then.
+        board: The balancer's blackboard.
+        grace_until: When the writers have repeated what the backup had lost,
+            seconds.
+        listing_pending: No full listing has been applied since then.
     """
 
     board: BalancerBoard
-    settles_at: float = float("-inf")
-    unsettled: bool = False
+    grace_until: float = float("-inf")
+    listing_pending: bool = False
 
-    def begins(self, revision: int) -> bool:
-        """Tells whether a list is the first of a new era."""
+    def is_new_era(self, revision: int) -> bool:
+        """Returns whether a listing is the first of a new era."""
         board = self.board
         known = era_of(board.view.revision)
         return board.fleet_known and era_of(revision) > known
 
-    def begin(
+    def start_era(
         self,
         entries: Sequence[tuple[ServerEntry, int]],
         revision: int,
         now: float,
     ) -> list[tuple[ServerEntry, int]]:
-        """Begins a new era.
+        """Starts a new era and its grace period.
 
-        Entries of living servers may be missing until it has settled, as after
-        an outage of the store.
+        Entries of running servers may be missing until the grace period ends,
+        as after an outage of the store.
 
         Args:
-            entries: The first list.
-            revision: Its revision.
+            entries: Entries of the first listing, with the revision of each.
+            revision: Revision of that listing.
             now: Runtime clock, seconds.
 
         Returns:
-            The entries, those that were created before the restore as such.
+            The entries; those created before the restore are assigned to the
+            era before it.
         """
         board = self.board
         before = board.view.revision
-        self.settles_at = now + SETTLE_S
-        self.unsettled = True
+        self.grace_until = now + RESTORE_GRACE_S
+        self.listing_pending = True
         board.store_failed_at = now
         board.records.decide(
             "store restored",
             b"",
-            f"settles in {SETTLE_S} s",
+            f"grace period of {RESTORE_GRACE_S} s",
             before=before,
             revision=revision,
         )
-        return [(_dated(entry, before), at) for entry, at in entries]
+        return [
+            (_with_creation_era(entry, before), entry_revision)
+            for entry, entry_revision in entries
+        ]
 
-    def is_settled(self, now: float) -> bool:
-        """Tells whether a whole list may take back what is known."""
-        return now >= self.settles_at
+    def is_grace_over(self, now: float) -> bool:
+        """Returns whether a full listing may remove entries from the view."""
+        return now >= self.grace_until
 
-    def is_first_word(self, entry: ServerEntry, revision: int) -> bool:
-        """Tells whether an entry is the first of its server in a new era."""
+    def is_first_in_era(self, entry: ServerEntry, revision: int) -> bool:
+        """Returns whether an entry is its server's first one in a new era."""
         known = self.board.view.changed_at.get(entry.server_id, 0)
         return era_of(revision) > era_of(known)
 
 
-def _dated(entry: ServerEntry, before: int) -> ServerEntry:
-    """Returns an entry with the era in which it was created.
+def _with_creation_era(entry: ServerEntry, before: int) -> ServerEntry:
+    """Returns an entry whose creation revision is of the right era.
 
-    Entries on one host replace each other by the order of their creation. The
-    copy's were created before the restore, as their counts say, and must not
-    replace what came after them and has been lost with the copy.
+    Entries on one host replace each other in the order of their creation. The
+    entries of the backup were created before the restore, which shows in their
+    counts. They must not replace later entries that the backup had lost.
     """
     created = count_of(entry.created)
     if created > count_of(before):
--- a/notchhoist/flows/published/fleet_keeper.py
+++ b/notchhoist/flows/published/fleet_keeper.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for what the platform publishes."""
+"""A balancer's controller for the state that the platform publishes."""
 
 import zlib
 from collections.abc import Sequence
@@ -14,31 +14,31 @@
 )
 from notchhoist.flows.model.notes import service_tag
 from notchhoist.flows.model.view import ViewChange
-from notchhoist.flows.published.eras import EraKeeper, newest_word
-from notchhoist.flows.published.tables import TableKeeper
-from notchhoist.flows.published.zones import ZoneKeeper
+from notchhoist.flows.published.eras import EraTracker, merge_after_restore
+from notchhoist.flows.published.tables import TableUpdater
+from notchhoist.flows.published.zones import ZoneUpdater
 
-UNLISTED_KEPT_S = 60.0
-"""How long a server whose entry vanished is still asked for its flows; the
-platform promises nothing to flows that are older."""
+UNLISTED_RETENTION_S = 60.0
+"""How long a server whose entry vanished is still queried for its flows,
+seconds; the platform guarantees nothing for older flows."""
 
 
 class FleetKeeper(Struct, eq=False):
-    """Keeps routes and servers as published; nothing goes back.
+    """Applies published routes and servers; never reverts to older ones.
 
     Attributes:
-        board: What the balancer knows.
-        eras: Carries what is known over restores of the platform's store.
-        zones: Keeps which availability zones are evacuated.
-        tables: Keeps the configuration.
-        on_host: Its servers by host.
+        board: The balancer's blackboard.
+        eras: Tracks eras of the platform's store.
+        zones: Applies evacuations of availability zones.
+        tables: Applies configurations.
+        servers_by_host: Servers by host, unlisted ones included.
     """
 
     board: BalancerBoard
-    eras: EraKeeper
-    zones: ZoneKeeper
-    tables: TableKeeper
-    on_host: dict[str, list[Server]] = field(default_factory=dict)
+    eras: EraTracker
+    zones: ZoneUpdater
+    tables: TableUpdater
+    servers_by_host: dict[str, list[Server]] = field(default_factory=dict)
 
     def on_listing(
         self,
@@ -48,34 +48,34 @@
         refused: Sequence[tuple[str, int]] = (),
         evacuated: Sequence[tuple[str, int]] = (),
     ) -> None:
-        """Takes the whole list of backend servers.
+        """Applies a full listing of the backend servers.
 
         Args:
             entries: Their entries, with the revision of each.
-            revision: Revision of the list.
+            revision: Revision of the listing.
             now: Runtime clock, seconds.
-            refused: Servers whose entries are wrong, with the revisions.
+            refused: Servers whose entries are invalid, with the revisions.
             evacuated: Zones that are evacuated, with the revisions.
         """
-        if self.eras.begins(revision):
-            entries = self.eras.begin(entries, revision, now)
-        settled = self.eras.is_settled(now)
-        self.zones.on_listing(evacuated, revision, now, settled)
+        if self.eras.is_new_era(revision):
+            entries = self.eras.start_era(entries, revision, now)
+        complete = self.eras.is_grace_over(now)
+        self.zones.on_listing(evacuated, revision, now, complete)
         changed = [
             entry
             for entry, changed_at in entries
-            if self._take_entry(entry, changed_at, now)
+            if self._apply_entry(entry, changed_at, now)
         ]
-        self._index()
+        self._rebuild_index()
         listed = {entry.server_id for entry, _ in entries}
         for server_id, refused_at in refused:
             listed.add(server_id)
             self.on_refused(server_id, refused_at)
-        if settled:
+        if complete:
             for server_id in list(self.board.view.servers):
                 if server_id not in listed:
                     self.on_removed(server_id, revision, now)
-            self.eras.unsettled = False
+            self.eras.listing_pending = False
         self.board.view.note_whole(revision)
         self.board.whole_since = now
         self._log_listing(entries, changed, revision)
@@ -90,10 +90,11 @@
         changed: Sequence[ServerEntry],
         revision: int,
     ) -> None:
-        """Logs a whole list in one line.
+        """Logs a full listing in one line.
 
-        With a line a server, 200 of them used the log's bound up in the second
-        after a loss of power, and 68 hosts lost the lines of failed requests.
+        One line for each server would exhaust the rate limit of the log: with
+        200 servers, 68 hosts lost the lines of failed requests in the second
+        after a power loss.
         """
         ids = sorted(entry.server_id for entry, _ in entries)
         self.board.records.decide(
@@ -108,10 +109,10 @@
         )
 
     def on_entry(self, entry: ServerEntry, revision: int, now: float) -> None:
-        """Takes an entry that is new or has changed."""
-        if not self._take_entry(entry, revision, now):
+        """Applies an entry that is new or has changed."""
+        if not self._apply_entry(entry, revision, now):
             return
-        self._index()
+        self._rebuild_index()
         if entry.server_id not in self.board.servers:
             return
         self.board.records.decide(
@@ -126,42 +127,46 @@
             revision=revision,
         )
 
-    def _take_entry(
+    def _apply_entry(
         self, entry: ServerEntry, revision: int, now: float
     ) -> bool:
-        """Takes an entry without making the index anew; tells if it is news."""
+        """Applies an entry without rebuilding the index.
+
+        Returns:
+            Whether the entry changed the view.
+        """
         board = self.board
         known = board.view.servers.get(entry.server_id)
-        if known is not None and self._is_strange(known, entry):
+        if known is not None and self._is_misassigned(known, entry):
             entry = replace(known, draining=True, withdrawn=True)
         server = board.servers.get(entry.server_id)
         unchanged = False
-        if server is not None and self.eras.is_first_word(entry, revision):
-            entry = newest_word(server.entry, entry)
+        if server is not None and self.eras.is_first_in_era(entry, revision):
+            entry = merge_after_restore(server.entry, entry)
             unchanged = entry == replace(server.entry, created=entry.created)
         if not board.view.put_server(entry, revision):
             return False
         reborn = server is not None and not server.entry.is_same_as(entry)
         if server is not None and reborn:
-            self._begin_anew(server, entry, now)
+            self._start_incarnation(server, entry, now)
             server = None
         if server is None:
             server = Server(entry, service_tag(entry.service), 0.0)
             server.reborn = reborn
             server.began_cold = entry.warm_in_s > 0
             board.servers[entry.server_id] = server
-            self.on_host.setdefault(entry.host, []).append(server)
+            self.servers_by_host.setdefault(entry.host, []).append(server)
         server.entry = entry
         server.unlisted_at = FOREVER
         if not unchanged:
             server.warm_at = now + entry.warm_in_s
-        if self._is_superseded(server):
+        if self._resolve_host_conflicts(server):
             # An entry outlives its server by three heartbeats.
-            self._forget(server)
+            self._remove_server(server)
         return True
 
-    def _is_strange(self, known: ServerEntry, entry: ServerEntry) -> bool:
-        """Tells whether an entry moves a server to a service without a route.
+    def _is_misassigned(self, known: ServerEntry, entry: ServerEntry) -> bool:
+        """Returns whether an entry moves a server to a service without a route.
 
         No server does so; another writer has overwritten its entry.
         """
@@ -174,13 +179,15 @@
             for service, _ in route.targets
         )
 
-    def _begin_anew(
+    def _start_incarnation(
         self, former: Server, entry: ServerEntry, now: float
     ) -> None:
-        """Sets a server aside whose id names another one from now on.
+        """Makes room for a new incarnation of a server.
 
-        Beside the same agent, the agent says which flows are gone. Else the
-        former may live: another writer's entry. It is asked for its flows only.
+        If both have the same agent, the agent reports which flows are gone.
+        Otherwise the former server may still run, as the entry may be of
+        another writer. It is kept under an id of its own and only queried for
+        its flows.
         """
         board = self.board
         board.records.decide(
@@ -194,42 +201,44 @@
             born_before=former.entry.born_ms,
         )
         if former.entry.is_beside(entry):
-            return  # The index by host replaces it.
+            return  # _resolve_host_conflicts replaces it.
         del board.servers[entry.server_id]
-        set_aside = f"{entry.server_id}@{former.entry.host}"
-        former.entry = replace(former.entry, server_id=set_aside)
+        former_id = f"{entry.server_id}@{former.entry.host}"
+        former.entry = replace(former.entry, server_id=former_id)
         former.unlisted_at = now
-        board.servers[set_aside] = former
+        board.servers[former_id] = former
 
-    def _is_superseded(self, server: Server) -> bool:
-        """Tells whether a newer server runs on the same host.
+    def _resolve_host_conflicts(self, server: Server) -> bool:
+        """Replaces older servers on a host, as their processes have ended.
 
-        Older ones there are replaced: their processes have ended.
+        Returns:
+            Whether a newer server runs there.
         """
-        for other in list(self.on_host.get(server.entry.host, ())):
+        for other in list(self.servers_by_host.get(server.entry.host, ())):
             if other is server:
                 continue
             same_id = other.entry.server_id == server.entry.server_id
             newer = other.entry.created > server.entry.created
             if newer and not same_id:
                 return True
-            self._replace(other, server)
+            self._replace_server(other, server)
         return False
 
-    def _replace(self, old: Server, new: Server) -> None:
-        self._forget(old)
+    def _replace_server(self, old: Server, new: Server) -> None:
+        self._remove_server(old)
         new.heard_at = old.heard_at
         self.board.move_flows(old, new)
 
-    def _forget(self, server: Server) -> None:
+    def _remove_server(self, server: Server) -> None:
         if self.board.servers.get(server.entry.server_id) is server:
             del self.board.servers[server.entry.server_id]
-        self.on_host[server.entry.host].remove(server)
+        self.servers_by_host[server.entry.host].remove(server)
 
     def on_removed(self, server_id: str, revision: int, now: float) -> None:
-        """Takes word that an entry has vanished."""
+        """Records that an entry has vanished."""
         if server_id not in self.board.view.changed_at:
-            self.board.whole_since = now  # It came unseen, and may live.
+            # A server was missed whose process may still run.
+            self.board.whole_since = now
         if not self.board.view.remove_server(server_id, revision):
             return
         server = self.board.servers.get(server_id)
@@ -240,10 +249,10 @@
         )
 
     def on_refused(self, server_id: str, revision: int) -> None:
-        """Takes word that a server's entry no longer names one.
+        """Records that a server's entry has become invalid.
 
-        It gets no new flows until it announces itself again; its open flows
-        stay where they are.
+        The server gets no new flows until it announces itself again; its open
+        flows stay where they are.
         """
         known = self.board.view.servers.get(server_id)
         if known is None:
@@ -259,22 +268,28 @@
         )
 
     def must_list_again(self, now: float) -> bool:
-        """Tells whether everything is to be read once more after a restore."""
-        return self.eras.unsettled and self.eras.is_settled(now)
+        """Returns whether a restore makes another full listing necessary."""
+        return self.eras.listing_pending and self.eras.is_grace_over(now)
 
     def on_change(
-        self, change: ViewChange, now: float, teller: str = ""
+        self, change: ViewChange, now: float, sender: str = ""
     ) -> bool:
-        """Takes what another balancer knows beyond this one.
+        """Applies a change that another balancer has sent.
+
+        Args:
+            change: The change.
+            now: Runtime clock, seconds.
+            sender: Host of that balancer.
 
         Returns:
-            Whether it leads to what the teller knows. It is passed over where
-            something before it is missing, and where the routes would differ.
+            Whether the view now includes the sender's. The change is ignored if
+            changes before it are missing, or if the routes would differ from
+            the sender's.
         """
         board = self.board
         if change.base > board.view.revision:
             return False
-        if change.version and not self.tables.on_told(change, teller):
+        if change.version and not self.tables.on_update(change, sender):
             return False
         if change.base == 0:
             self.on_listing(
@@ -284,8 +299,8 @@
                 evacuated=change.evacuated,
             )
             return True
-        for zone, asked_at in change.evacuated:
-            self.zones.on_evacuated(zone, asked_at, now)
+        for zone, requested_at in change.evacuated:
+            self.zones.on_evacuated(zone, requested_at, now)
         for zone, withdrawn_at in change.returned:
             self.zones.on_returned(zone, withdrawn_at, now)
         for entry, revision in change.servers:
@@ -296,18 +311,18 @@
         return True
 
     def sweep(self, now: float) -> None:
-        """Forgets servers whose entries vanished long ago."""
-        old = [
+        """Removes servers whose entries vanished long ago."""
+        expired = [
             server
             for server in self.board.servers.values()
-            if now - server.unlisted_at > UNLISTED_KEPT_S
+            if now - server.unlisted_at > UNLISTED_RETENTION_S
         ]
-        for server in old:
-            self._forget(server)
-        if old:
-            self._index()
+        for server in expired:
+            self._remove_server(server)
+        if expired:
+            self._rebuild_index()
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         board = self.board
         board.by_service = {}
         board.by_host = {}
@@ -319,7 +334,7 @@
 
 
 def make_fleet_keeper(board: BalancerBoard) -> FleetKeeper:
-    """Makes the keeper of what is published, for a balancer's blackboard."""
+    """Creates a ``FleetKeeper`` with its parts on a balancer's blackboard."""
     return FleetKeeper(
-        board, EraKeeper(board), ZoneKeeper(board), TableKeeper(board)
+        board, EraTracker(board), ZoneUpdater(board), TableUpdater(board)
     )
--- a/notchhoist/flows/published/tables.py
+++ b/notchhoist/flows/published/tables.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for the configuration."""
+"""A balancer's controller for the published configuration."""
 
 from collections.abc import Mapping
 
@@ -10,12 +10,14 @@
 from notchhoist.flows.model.view import ViewChange
 
 
-def told_table(known: Mapping[bytes, Route], change: ViewChange) -> RouteTable:
-    """Returns the configuration that a change leads to.
+def apply_change(
+    known: Mapping[bytes, Route], change: ViewChange
+) -> RouteTable:
+    """Returns the configuration that results from a change.
 
     Args:
         known: Routes that are in force.
-        change: What changed, or everything.
+        change: What changed, or a full view.
     """
     former = known if change.base else {}
     removed = set(change.removed_routes)
@@ -27,22 +29,23 @@
     )
 
 
-def is_as_told(table: RouteTable, change: ViewChange) -> bool:
-    """Tells whether a configuration is the teller's.
+def matches_digest(table: RouteTable, change: ViewChange) -> bool:
+    """Returns whether a configuration has the digest that a change states.
 
-    A teller that has skipped versions does not know what they changed, and its
-    differences may lead a process that has one of them elsewhere.
+    A sender that has skipped versions does not know what they changed. A
+    receiver that has one of those versions may get other routes from the
+    sender's change than the sender has.
     """
     if change.routes_digest is None:
         return True
     return routes_digest(table.routes.values()) == change.routes_digest
 
 
-class TableKeeper(Struct, eq=False):
-    """Keeps the configuration as published; it does not go back.
+class TableUpdater(Struct, eq=False):
+    """Puts published configurations in force; never reverts to older ones.
 
     Attributes:
-        board: What the balancer knows.
+        board: The balancer's blackboard.
     """
 
     board: BalancerBoard
@@ -52,15 +55,15 @@
         table: RouteTable,
         revision: int,
         mends: bool = False,
-        teller: str = "",
+        sender: str = "",
     ) -> None:
         """Puts a configuration in force if it is newer.
 
         Args:
             table: The configuration.
             revision: Revision of its change.
-            mends: It also replaces one of the same version.
-            teller: Host of the balancer that told it; empty for the platform.
+            mends: It also replaces a configuration of the same version.
+            sender: Host of the balancer that sent it; empty for the platform.
         """
         board = self.board
         former = board.table
@@ -79,32 +82,33 @@
             added=len(table.routes.keys() - before.keys()),
             dropped=len(before.keys() - table.routes.keys()),
             digest=f"{board.view.digest:x}",
-            teller=teller or None,
+            teller=sender or None,
             confirmed_clock=board.confirmed_clock,
             confirmed_by=board.confirmed_by or None,
         )
 
-    def on_told(self, change: ViewChange, teller: str) -> bool:
-        """Takes a configuration that another balancer tells.
+    def on_update(self, change: ViewChange, sender: str) -> bool:
+        """Applies a configuration that another balancer has sent.
 
         Args:
-            change: What changed, or everything; with a configuration.
-            teller: Host of that balancer.
+            change: What changed, or a full view; with a configuration.
+            sender: Host of that balancer.
 
         Returns:
-            Whether what is known is, or goes beyond, what the teller has. What
-            would differ from that is not put in force.
+            Whether the configuration in force is the sender's or a later one.
+            A configuration that would differ from the sender's is not put in
+            force.
         """
         board = self.board
         version = board.table.version if board.table else 0
         if change.version < version:
             return True
-        table = told_table(board.table.routes if board.table else {}, change)
-        if not is_as_told(table, change):
+        table = apply_change(board.table.routes if board.table else {}, change)
+        if not matches_digest(table, change):
             return False
         newest = change.revision >= board.view.revision
         mends = change.base == 0 and newest
-        self.on_table(table, change.revision, mends, teller)
+        self.on_table(table, change.revision, mends, sender)
         if change.base:
             board.view.note_told(change)
         return True
--- a/notchhoist/flows/published/tests/test_eras.py
+++ b/notchhoist/flows/published/tests/test_eras.py
@@ -9,7 +9,7 @@
 from notchhoist.flows.model.effects import SendPeer
 from notchhoist.flows.model.messages import ViewAsk, ViewTell
 from notchhoist.flows.model.revisions import era_of, make_revision
-from notchhoist.flows.published.eras import SETTLE_S
+from notchhoist.flows.published.eras import RESTORE_GRACE_S
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.crafting import CODEC, entry
 
@@ -74,9 +74,9 @@
     node.fleet.zones.on_evacuated("a", at(64), 0.5)
     listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
     assert set(node.board.view.evacuated) == {"a"}
-    assert not node.fleet.must_list_again(1.0 + SETTLE_S - 0.1)
-    assert node.fleet.must_list_again(1.0 + SETTLE_S)
-    listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0 + SETTLE_S)
+    assert not node.fleet.must_list_again(1.0 + RESTORE_GRACE_S - 0.1)
+    assert node.fleet.must_list_again(1.0 + RESTORE_GRACE_S)
+    listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0 + RESTORE_GRACE_S)
     assert not node.board.view.evacuated
     assert not node.fleet.must_list_again(10.0)
 
@@ -267,7 +267,7 @@
             case "tell" if one != other and nodes[one].board.fleet_known:
                 tell(nodes[one], nodes[other], now)
     for _ in range(2):
-        now += 2 * SETTLE_S
+        now += 2 * RESTORE_GRACE_S
         platform.read(nodes[0], now)
         for node in nodes[1:]:
             tell(nodes[0], node, now)
--- a/notchhoist/flows/published/tests/test_fleet_keeper.py
+++ b/notchhoist/flows/published/tests/test_fleet_keeper.py
@@ -38,7 +38,7 @@
         assert node.board.by_host["10.0.0.1"].entry.server_id == "new"
         [server] = node.board.by_service[new.service]
         assert server.entry is new
-        assert node.fleet.on_host == {"10.0.0.1": [server]}
+        assert node.fleet.servers_by_host == {"10.0.0.1": [server]}
 
 
 def test_servers_that_are_gone_for_long_are_forgotten_everywhere():
@@ -46,7 +46,7 @@
     node.fleet.on_removed("s1", 2, 1.0)
     node.fleet.sweep(100.0)
     assert set(node.board.servers) == {"s2"}
-    assert not node.fleet.on_host["10.0.0.1"]
+    assert not node.fleet.servers_by_host["10.0.0.1"]
 
 
 def took_new_flows(node, server_id):
@@ -111,7 +111,7 @@
         assert not server.suspected
         assert server.reborn
         assert node.board.by_host["10.0.0.1"] is server
-        assert node.fleet.on_host == {"10.0.0.1": [server]}
+        assert node.fleet.servers_by_host == {"10.0.0.1": [server]}
 
 
 def test_the_same_start_time_or_none_is_the_same_server():
--- a/notchhoist/flows/published/zones.py
+++ b/notchhoist/flows/published/zones.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for availability zones that are evacuated."""
+"""A balancer's controller for evacuations of availability zones."""
 
 from collections.abc import Sequence
 
@@ -7,17 +7,17 @@
 from notchhoist.flows.boards.balancer_board import BalancerBoard, ZoneState
 
 
-class ZoneKeeper(Struct, eq=False):
-    """Keeps which availability zones are to get no new flows.
+class ZoneUpdater(Struct, eq=False):
+    """Tracks which availability zones must get no new flows.
 
     Attributes:
-        board: What the balancer knows.
+        board: The balancer's blackboard.
     """
 
     board: BalancerBoard
 
     def on_evacuated(self, zone: str, revision: int, now: float) -> None:
-        """Takes word that an availability zone is to get no new flows."""
+        """Records that an availability zone must get no new flows."""
         board = self.board
         if not board.view.put_evacuation(zone, revision):
             return
@@ -25,10 +25,10 @@
         self._log_zone(zone, "evacuated", revision)
 
     def on_returned(self, zone: str, revision: int, now: float) -> None:
-        """Takes word that an evacuation was withdrawn.
+        """Records that the evacuation of a zone was withdrawn.
 
         The zone's servers may be cold although their entries do not say so
-        yet: they count as cold for as long as a start takes.
+        yet. They count as cold for the slow-start time.
         """
         board = self.board
         if not board.view.remove_evacuation(zone, revision):
@@ -49,19 +49,19 @@
         evacuated: Sequence[tuple[str, int]],
         revision: int,
         now: float,
-        settled: bool,
+        complete: bool,
     ) -> None:
-        """Takes the whole list of evacuated zones.
+        """Applies a full listing of the evacuated zones.
 
         Args:
             evacuated: The zones, with the revision of each.
-            revision: Revision of the list.
+            revision: Revision of the listing.
             now: Runtime clock, seconds.
-            settled: What is not on the list has been withdrawn.
+            complete: Evacuations that are not listed have been withdrawn.
         """
-        for zone, asked_at in evacuated:
-            self.on_evacuated(zone, asked_at, now)
-        if not settled:
+        for zone, requested_at in evacuated:
+            self.on_evacuated(zone, requested_at, now)
+        if not complete:
             return
         listed = {zone for zone, _ in evacuated}
         for zone in list(self.board.view.evacuated):
