--- a/notchhoist/flows/published/asking.py
+++ b/notchhoist/flows/published/asking.py
@@ -1,62 +1,67 @@
-"""Whom a balancer asks for what the platform has published, and how often.
+"""Which balancers a balancer queries for published state, and how often.
 
-Needed where a balancer asks the few that its settings name before these have
-started, as after a loss of power: its question is lost.
+Queries are repeated quickly while nothing is known: after a power loss a
+balancer may query its seeds before they have started, and the query is lost.
 """
 
 from collections.abc import Sequence
 
-READERS = 2
-"""Balancers that read the store, so that one may be lost unnoticed."""
+MIN_READERS = 2
+"""Balancers that read the store at least; one of them may fail unnoticed."""
 
 ASK_S = 0.5
-"""Time between two questions, to the first two readers in turn, seconds."""
+"""Time between two queries, to the first two readers in turn, seconds."""
 
-ASK_FIRST_S = 0.1
-"""The same while nothing is known, to one of all in turn, seconds: with three
-that the settings name each gets three a second from each that starts."""
+BOOTSTRAP_QUERY_INTERVAL_S = 0.1
+"""The same while nothing is known, to all balancers in turn, seconds. With
+three seeds, each gets three queries a second from each balancer that starts."""
 
-ALL_EVERY = 5
-"""While nothing is known, all are asked with each so many questions."""
+QUERY_ALL_EVERY = 5
+"""While nothing is known, one query in so many goes to all balancers."""
 
-SEED_EVERY = 4
-"""One question in so many also goes to a balancer that the settings name."""
+QUERY_SEED_EVERY = 4
+"""One query in so many also goes to a seed."""
 
 
-def pause_s(knows: bool) -> float:
-    """Returns the time until the next question, seconds.
+def query_interval_s(view_known: bool) -> float:
+    """Returns the time until the next query, seconds.
 
     Args:
-        knows: The view is known.
+        view_known: This balancer has a view.
     """
-    return ASK_S if knows else ASK_FIRST_S
+    return ASK_S if view_known else BOOTSTRAP_QUERY_INTERVAL_S
 
 
-def hosts_to_ask(
-    turn: int, alive: Sequence[str], seeds: Sequence[str], knows: bool
+def hosts_to_query(
+    query_round: int,
+    alive: Sequence[str],
+    seeds: Sequence[str],
+    view_known: bool,
 ) -> list[str]:
-    """Returns whom to ask now.
+    """Returns the hosts of the balancers to query now.
 
     Examples:
-        >>> hosts_to_ask(1, ["a", "b", "c"], ["s"], knows=True)
+        >>> hosts_to_query(1, ["a", "b", "c"], ["s"], view_known=True)
         ['b']
-        >>> [hosts_to_ask(n, [], ["s", "t"], knows=False) for n in (1, 2, 3)]
+        >>> seeds = ["s", "t"]
+        >>> [hosts_to_query(n, [], seeds, view_known=False) for n in (1, 2, 3)]
         [['s', 't'], ['s'], ['t']]
 
     Args:
-        turn: Number of the question, from 1.
-        alive: Other balancers that are alive, those that read first.
-        seeds: Others that the settings name and that were not heard lately.
-        knows: The view is known.
+        query_round: Number of the round, from 1.
+        alive: Other balancers that are alive, readers first.
+        seeds: Seeds, from the settings, that are not among these.
+        view_known: This balancer has a view.
     """
-    asked = list(alive[:READERS] or seeds)
-    if not knows:
-        everybody = list(dict.fromkeys([*asked, *seeds]))
-        if not everybody or turn % ALL_EVERY == 1:
-            return everybody
-        return [everybody[turn % len(everybody)]]
-    hosts = [asked[turn % len(asked)]] if asked else []
-    if seeds and turn % SEED_EVERY == 0:
-        # Parts of the fleet that have lost each other meet there again.
-        hosts.append(seeds[turn // SEED_EVERY % len(seeds)])
+    sources = list(alive[:MIN_READERS] or seeds)
+    if not view_known:
+        candidates = list(dict.fromkeys([*sources, *seeds]))
+        if not candidates or query_round % QUERY_ALL_EVERY == 1:
+            return candidates
+        return [candidates[query_round % len(candidates)]]
+    hosts = [sources[query_round % len(sources)]] if sources else []
+    if seeds and query_round % QUERY_SEED_EVERY == 0:
+        # Groups of balancers that a partition has separated find each other
+        # again through the seeds.
+        hosts.append(seeds[query_round // QUERY_SEED_EVERY % len(seeds)])
     return hosts
--- a/notchhoist/flows/published/membership.py
+++ b/notchhoist/flows/published/membership.py
@@ -1,8 +1,8 @@
-"""Which balancers there are, and which of them read the platform's store.
+"""Membership of the balancers and selection of those that read the store.
 
-Nobody publishes who they are: a process knows a few from its settings and hears
-of more by asking. All choose the readers alike, from those that are alive and
-that the store answers.
+The platform does not publish which balancers there are. A process knows a few
+seeds from its settings and learns of others by gossip. All balancers select the
+readers by the same rule, from those that are alive and that the store answers.
 """
 
 import zlib
@@ -12,34 +12,34 @@
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.model.messages import Member
-from notchhoist.flows.published.asking import READERS
+from notchhoist.flows.published.asking import MIN_READERS
 
-MEMBERS_A_READER = 64
-"""One more reader for each so many balancers: each asks twice a second, and
-130 questions a second take a reader 1% of a core."""
+MEMBERS_PER_READER = 64
+"""One more reader for each so many balancers: each sends two queries a second,
+and 130 queries a second take a reader 1% of a core."""
 
-ALIVE_S = 2.2
-"""A balancer that was heard within this time is alive: each reader is asked
-once a second, and one answer may be lost."""
+ALIVE_TIMEOUT_S = 2.2
+"""A balancer that was heard within this time counts as alive, seconds. Each
+reader is queried once a second, and one response may be lost."""
 
-MEMBERS_TOLD = 16
-READERS_TOLD = 4
-"""Members told of because they read or are the next to: where the store answers
-few, these are not among the first by rank."""
+MAX_MEMBERS_SENT = 16
+READERS_SENT = 4
+"""Members that are always sent as they read the store or are the next to do so.
+If the store answers few balancers, these are not among the first by rank."""
 
-FORGET_S = 60.0
-"""A balancer that was not heard for so long is forgotten."""
+FORGET_AFTER_S = 60.0
+"""A balancer that was not heard for so long is removed, seconds."""
 
 
 class Membership(Struct, eq=False):
-    """The balancers that are known, and how each of them fares.
+    """The known balancers and their state.
 
     Attributes:
-        board: What this balancer knows.
-        link_mbps: What its host's link carries, Mbit/s.
-        heard: When each other balancer was last heard, by host.
-        links: What their links carry.
-        unserved: Those whose last call the store has not answered.
+        board: This balancer's blackboard.
+        link_mbps: Bandwidth of its host's link, Mbit/s.
+        heard: When each other balancer was last heard, seconds, by host.
+        links: Bandwidth of their hosts' links, Mbit/s, by host.
+        unserved: Hosts of those whose last call the store has not answered.
     """
 
     board: BalancerBoard
@@ -48,8 +48,8 @@
     links: dict[str, int] = field(default_factory=dict)
     unserved: set[str] = field(default_factory=set)
 
-    def on_heard(self, member: Member, now: float) -> None:
-        """Takes what a balancer says of itself, or what another says of it."""
+    def on_member(self, member: Member, now: float) -> None:
+        """Applies what a balancer reports of itself or of another one."""
         if member.host == self.board.host:
             return
         heard_at = now - member.age_ms / 1000
@@ -63,54 +63,54 @@
             self.unserved.discard(member.host)
 
     def on_message(self, host: str, now: float) -> None:
-        """Takes account of a message of another balancer."""
+        """Records that a message of another balancer has arrived."""
         self.heard[host] = now
 
     def alive(self, now: float) -> list[str]:
-        """Returns the balancers that are alive, the readers first."""
-        return sorted(self._alive(now), key=self._reading_rank)
+        """Returns the hosts of the balancers that are alive, readers first."""
+        return sorted(self._alive(now), key=self._reader_rank)
 
     def _alive(self, now: float) -> set[str]:
         heard = self.heard.items()
-        hosts = {host for host, at in heard if now - at < ALIVE_S}
+        hosts = {host for host, at in heard if now - at < ALIVE_TIMEOUT_S}
         return {*hosts, self.board.host}
 
     def is_unserved(self, host: str) -> bool:
-        """Tells whether the store has not answered a balancer's last call."""
+        """Returns whether the store has not answered a balancer's last call."""
         if host == self.board.host:
             return self.board.store_failed_at > self.board.store_answered_at
         return host in self.unserved
 
-    def _reading_rank(self, host: str) -> tuple[bool, int, int, str]:
+    def _reader_rank(self, host: str) -> tuple[bool, int, int, str]:
         return (self.is_unserved(host), *self._rank(host))
 
     def _rank(self, host: str) -> tuple[int, int, str]:
-        """Orders balancers alike everywhere, those with wide links first.
+        """Returns a sort key that is the same everywhere, fast links first.
 
-        A whole configuration takes 0.7 s over a link of 5 Mbit/s, and packets
-        of flows wait behind it.
+        A full configuration takes a link of 5 Mbit/s 0.7 s, and packets of
+        flows are queued behind it.
         """
         own = host == self.board.host
         link = self.link_mbps if own else self.links.get(host, 0)
         return (-link, zlib.crc32(host.encode()), host)
 
     def is_reader(self, now: float) -> bool:
-        """Tells whether this balancer is one of those that read the store."""
+        """Returns whether this balancer is one of the readers of the store."""
         alive = self.alive(now)
-        count = READERS + len(alive) // MEMBERS_A_READER
+        count = MIN_READERS + len(alive) // MEMBERS_PER_READER
         return self.board.host in alive[:count]
 
-    def told(self, now: float) -> tuple[Member, ...]:
-        """Returns what others are told: this balancer, and the first others.
+    def members_to_send(self, now: float) -> tuple[Member, ...]:
+        """Returns the members to send: this balancer, readers, then others.
 
-        By their rank alone but for the readers, so that word of those that
-        cannot read gets round.
+        The others are ordered by ``_rank``, which ignores whether the store
+        answers them, so that members that cannot read it are reported too.
         """
-        readers = self.alive(now)[:READERS_TOLD]
+        readers = self.alive(now)[:READERS_SENT]
         others = sorted(self._alive(now), key=self._rank)
         hosts = dict.fromkeys([self.board.host, *readers, *others])
-        told = list(hosts)[:MEMBERS_TOLD]
-        return tuple(self._member(host, now) for host in told)
+        chosen = list(hosts)[:MAX_MEMBERS_SENT]
+        return tuple(self._member(host, now) for host in chosen)
 
     def _member(self, host: str, now: float) -> Member:
         unserved = self.is_unserved(host)
@@ -119,19 +119,19 @@
         age_ms = int((now - self.heard[host]) * 1000)
         return Member(host, self.links.get(host, 0), age_ms, unserved)
 
-    def others(self, seeds: Sequence[str]) -> list[str]:
-        """Returns every other balancer that was heard of lately or is a seed.
+    def other_hosts(self, seeds: Sequence[str]) -> list[str]:
+        """Returns the hosts of other balancers, heard of lately or seeds.
 
         Args:
-            seeds: Those that the settings name.
+            seeds: Hosts of the balancers that the settings name.
         """
         hosts = [*self.heard, *seeds]
         return [host for host in hosts if host != self.board.host]
 
     def sweep(self, now: float) -> None:
-        """Forgets balancers that have long been silent."""
+        """Removes balancers that were not heard for long."""
         heard = list(self.heard.items())
-        for host in [host for host, at in heard if now - at > FORGET_S]:
+        for host in [host for host, at in heard if now - at > FORGET_AFTER_S]:
             del self.heard[host]
             self.links.pop(host, None)
             self.unserved.discard(host)
--- a/notchhoist/flows/published/parts.py
+++ b/notchhoist/flows/published/parts.py
@@ -1,4 +1,4 @@
-"""Cuts a view into messages and puts it together again."""
+"""Splits a change of the view into messages and reassembles it."""
 
 from msgspec import Struct, field
 from msgspec.structs import replace
@@ -6,10 +6,10 @@
 from notchhoist.flows.model.messages import ViewTell
 from notchhoist.flows.model.view import ViewChange
 
-RECORDS_A_PART = 12
-"""Routes and servers in one message: about 1,100 bytes at 90 bytes each."""
+RECORDS_PER_PART = 12
+"""Records in one message: about 1,100 bytes at 90 bytes each."""
 
-RECORDS = (
+RECORD_FIELDS = (
     "evacuated",
     "returned",
     "cold_bounds",
@@ -18,67 +18,67 @@
     "removed_routes",
     "removed_servers",
 )
-"""Fields of a change that hold records."""
+"""Fields of ``ViewChange`` that hold records."""
 
-PARTS_KEPT_S = 1.0
+REASSEMBLY_TIMEOUT_S = 1.0
 
 
-class Parts(Struct, eq=False):
-    """The parts of one view that have come so far."""
+class PartialChange(Struct, eq=False):
+    """The parts of one change that have arrived so far."""
 
     total: int
-    since: float
+    started_at: float
     by_number: dict[int, ViewChange] = field(default_factory=dict)
 
 
-class ViewParts(Struct, eq=False):
-    """Views that come in parts.
+class PartAssembler(Struct, eq=False):
+    """Reassembles changes that arrive in parts.
 
     Attributes:
-        incoming: Their parts, by sender, base, revision and number of parts:
-            two answers of one sender that begin at different revisions are two
-            views.
+        incoming: Incomplete changes by sender, base, revision and number of
+            parts. Two responses of one sender with different bases are
+            different changes.
     """
 
-    incoming: dict[tuple[str, int, int, int], Parts] = field(
+    incoming: dict[tuple[str, int, int, int], PartialChange] = field(
         default_factory=dict
     )
 
-    def whole(self, host: str, tell: ViewTell, now: float) -> ViewChange | None:
-        """Takes a part; returns the view once all of its parts have come."""
-        if tell.parts == 1:
-            return tell.change
-        change = tell.change
-        key = (host, change.base, change.revision, tell.parts)
-        parts = self.incoming.setdefault(key, Parts(tell.parts, now))
-        parts.by_number[tell.part] = tell.change
+    def add(self, host: str, update: ViewTell, now: float) -> ViewChange | None:
+        """Adds a part; returns the change once all parts have arrived."""
+        if update.parts == 1:
+            return update.change
+        change = update.change
+        key = (host, change.base, change.revision, update.parts)
+        parts = self.incoming.setdefault(key, PartialChange(update.parts, now))
+        parts.by_number[update.part] = update.change
         if len(parts.by_number) < parts.total:
             return None
         del self.incoming[key]
-        return join([parts.by_number[n] for n in range(parts.total)])
+        return join_parts([parts.by_number[n] for n in range(parts.total)])
 
     def sweep(self, now: float) -> None:
-        """Forgets views whose other parts will not come."""
+        """Drops changes whose missing parts are overdue."""
         for key, parts in list(self.incoming.items()):
-            if now - parts.since > PARTS_KEPT_S:
+            if now - parts.started_at > REASSEMBLY_TIMEOUT_S:
                 del self.incoming[key]
 
 
-def split(change: ViewChange) -> list[ViewChange]:
-    """Cuts a change into parts that fit a datagram each.
+def split_change(change: ViewChange) -> list[ViewChange]:
+    """Splits a change into parts that fit into one datagram each.
 
     Examples:
-        >>> [part.removed_servers for part in split(
+        >>> [part.removed_servers for part in split_change(
         ...     ViewChange(9, removed_servers=("a", "b"))
         ... )]
         [('a', 'b')]
     """
-    left = {name: list(getattr(change, name)) for name in RECORDS}
+    remaining = {name: list(getattr(change, name)) for name in RECORD_FIELDS}
     parts: list[ViewChange] = []
-    while any(left.values()) or not parts:
+    while any(remaining.values()) or not parts:
         taken: dict[str, tuple] = {}
-        room = RECORDS_A_PART
-        for name, records in left.items():
+        room = RECORDS_PER_PART
+        for name, records in remaining.items():
             taken[name] = tuple(records[:room])
             del records[:room]
             room -= len(taken[name])
@@ -86,10 +86,10 @@
     return parts
 
 
-def join(parts: list[ViewChange]) -> ViewChange:
-    """Puts the parts of a change together again."""
+def join_parts(parts: list[ViewChange]) -> ViewChange:
+    """Reassembles a change from all of its parts."""
     whole = {
         name: tuple(item for part in parts for item in getattr(part, name))
-        for name in RECORDS
+        for name in RECORD_FIELDS
     }
     return replace(parts[0], **whole)
--- a/notchhoist/flows/published/pieces.py
+++ b/notchhoist/flows/published/pieces.py
@@ -1,76 +1,77 @@
-"""A large change of the view in pieces: made once for all, joined once.
+"""Compresses a large change of the view and sends it in pieces.
 
-After a loss of power each balancer that knows the view is asked for all of it
-by every other one at once, over links as narrow as 5 Mbit/s.
+After a power loss each balancer that has the view is queried for all of it by
+all others at once, over links of as little as 5 Mbit/s. The pieces are made
+once for all receivers, and each receiver unpacks them once.
 """
 
 from msgspec import Struct, field
 
 from notchhoist.flows.model.messages import ViewPiece, ViewTell
 from notchhoist.flows.model.view import ViewChange
-from notchhoist.flows.published.parts import PARTS_KEPT_S
+from notchhoist.flows.published.parts import REASSEMBLY_TIMEOUT_S
 
-BYTES_A_PIECE = 1_000
-"""Data in one message, bytes: a frame of 1,500 has room for it beside the names
-of 16 balancers, which the first one carries."""
+BYTES_PER_PIECE = 1_000
+"""Data in one message, bytes. The first message also carries the hosts of 16
+balancers, and a frame of 1,500 bytes has room for both."""
 
 NO_CHANGE = ViewChange(0)
 
 
 class ViewPacker(Struct, eq=False):
-    """Cuts changes into pieces; the last one is kept, as many ask for it.
+    """Cuts changes into pieces; caches the last one, as many request it.
 
     Attributes:
-        change: The change that was packed last.
+        packed_change: The change that was packed last.
         pieces: Its pieces.
     """
 
-    change: ViewChange = NO_CHANGE
+    packed_change: ViewChange = NO_CHANGE
     pieces: list[bytes] = field(default_factory=list)
 
     def pack(self, change: ViewChange) -> list[bytes]:
         """Returns the pieces of a change."""
-        if change != self.change:
-            # Loaded late: a process must be listening before it has time.
+        if change != self.packed_change:
+            # Imported here as a starting process must listen first.
             from notchhoist.flows.codec.view_pieces import pack_change
 
             data = pack_change(change)
-            self.change = change
+            self.packed_change = change
             self.pieces = [
-                data[start : start + BYTES_A_PIECE]
-                for start in range(0, len(data), BYTES_A_PIECE)
+                data[start : start + BYTES_PER_PIECE]
+                for start in range(0, len(data), BYTES_PER_PIECE)
             ]
         return self.pieces
 
 
-class Pieces(Struct, eq=False):
-    """The pieces of one change that have come so far."""
+class PartialUpdate(Struct, eq=False):
+    """The pieces of one update that have arrived so far."""
 
     total: int
-    since: float
+    started_at: float
     by_number: dict[int, ViewPiece] = field(default_factory=dict)
 
 
-class ViewPieces(Struct, eq=False):
-    """Changes that come in pieces.
+class PieceAssembler(Struct, eq=False):
+    """Reassembles updates that arrive in pieces.
 
     Attributes:
-        incoming: Their pieces, by sender, base, revision and number of pieces.
-            What is sent again fills the gaps.
+        incoming: Incomplete updates by sender, base, revision and number of
+            pieces. A repeated response fills the gaps of the first one.
     """
 
-    incoming: dict[tuple[str, int, int, int], Pieces] = field(
+    incoming: dict[tuple[str, int, int, int], PartialUpdate] = field(
         default_factory=dict
     )
 
-    def whole(self, host: str, piece: ViewPiece, now: float) -> ViewTell | None:
-        """Takes a piece; returns what was told once all of it has come.
+    def add(self, host: str, piece: ViewPiece, now: float) -> ViewTell | None:
+        """Adds a piece; returns the update once all pieces have arrived.
 
         Raises:
-            CodecError: The pieces are no change.
+            CodecError: The pieces do not make up a change.
         """
         key = (host, piece.base, piece.revision, piece.parts)
-        pieces = self.incoming.setdefault(key, Pieces(piece.parts, now))
+        pieces = self.incoming.setdefault(key, PartialUpdate(piece.parts, now))
         pieces.by_number[piece.part] = piece
         if len(pieces.by_number) < pieces.total:
             return None
@@ -79,16 +80,16 @@
 
         ordered = [pieces.by_number[n] for n in range(pieces.total)]
         change = unpack_change(b"".join(item.data for item in ordered))
-        return _told(ordered[0], change)
+        return _make_update(ordered[0], change)
 
     def sweep(self, now: float) -> None:
-        """Forgets changes whose other pieces will not come."""
+        """Drops updates whose missing pieces are overdue."""
         for key, pieces in list(self.incoming.items()):
-            if now - pieces.since > PARTS_KEPT_S:
+            if now - pieces.started_at > REASSEMBLY_TIMEOUT_S:
                 del self.incoming[key]
 
 
-def _told(first: ViewPiece, change: ViewChange) -> ViewTell:
+def _make_update(first: ViewPiece, change: ViewChange) -> ViewTell:
     return ViewTell(
         change,
         first.age_s,
--- a/notchhoist/flows/published/mending.py
+++ b/notchhoist/flows/published/reconciliation.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for views that differ though they should not."""
+"""A balancer's controller that reconciles views that should be equal."""
 
 from msgspec import Struct
 
@@ -8,32 +8,32 @@
 from notchhoist.flows.model.view import ViewChange
 from notchhoist.flows.published.membership import Membership
 
-MEND_FIRST_S = 0.5
-MEND_MOST_S = 8.0
-"""Bounds of the time between two mends, seconds. It doubles while views go on
-differing: 1,600 routes fill a link of 5 Mbit/s for 0.7 s."""
+MIN_RECONCILE_INTERVAL_S = 0.5
+MAX_RECONCILE_INTERVAL_S = 8.0
+"""Bounds of the time between two reconciliations, seconds. The time doubles
+while views still differ, as 1,600 routes fill a link of 5 Mbit/s for 0.7 s."""
 
 
-class ViewMender(Struct, eq=False):
-    """Has everything told or read anew where views differ.
+class ViewReconciler(Struct, eq=False):
+    """Requests a full view or a read of the store where views differ.
 
     Attributes:
-        board: What the balancer knows.
-        membership: Knows this host's link.
-        due: When the next mend may begin, seconds.
-        pause_s: Time until then after the next one, seconds.
-        doubtful: Another balancer has other routes with the same version; the
-            platform is to be read.
+        board: The balancer's blackboard.
+        membership: Knows the bandwidth of this host's link.
+        next_attempt_at: When the next reconciliation may start, seconds.
+        backoff_s: Least time between that one and the one after it, seconds.
+        doubtful: Another balancer has other routes with the same version, so
+            the store must be read.
     """
 
     board: BalancerBoard
     membership: Membership
-    due: float = float("-inf")
-    pause_s: float = MEND_FIRST_S
+    next_attempt_at: float = float("-inf")
+    backoff_s: float = MIN_RECONCILE_INTERVAL_S
     doubtful: bool = False
 
     def check(self, host: str, change: ViewChange, now: float) -> None:
-        """Looks whether a change has led to what its teller has."""
+        """Checks whether a change has led to the view of its sender."""
         view = self.board.view
         if view.revision != change.revision:
             return
@@ -45,37 +45,41 @@
             change.evacuated_total,
         )
         if None not in digests and digests[0] != digests[1]:
-            self._read_all(host, change, now)
+            self._request_store_read(host, change, now)
         elif not same:
-            self.ask_for_all(host, change, now)
+            self.request_full_view(host, change, now)
         else:
-            self.pause_s = MEND_FIRST_S
+            self.backoff_s = MIN_RECONCILE_INTERVAL_S
 
-    def _read_all(self, host: str, change: ViewChange, now: float) -> None:
-        """Has the platform read: either of the two views may be wrong."""
-        if self._begins("reading everything", host, change, now):
+    def _request_store_read(
+        self, host: str, change: ViewChange, now: float
+    ) -> None:
+        """Requests a read of the store, as either of the views may be wrong."""
+        if self._try_start("reading everything", host, change, now):
             self.doubtful = True
 
     def on_listed(self) -> None:
-        """Takes account of a whole list of the platform."""
+        """Records that a full listing of the store has been read."""
         self.doubtful = False
 
-    def ask_for_all(self, host: str, change: ViewChange, now: float) -> None:
-        """Asks a balancer for everything that it knows."""
-        if self._begins("asked for everything", host, change, now):
-            reads = self.board.uses.pieces
+    def request_full_view(
+        self, host: str, change: ViewChange, now: float
+    ) -> None:
+        """Requests the full view of another balancer."""
+        if self._try_start("asked for everything", host, change, now):
+            reads_pieces = self.board.uses.pieces
             link_mbps = self.membership.link_mbps
-            message = ViewAsk(0, link_mbps, reads_pieces=reads)
+            message = ViewAsk(0, link_mbps, reads_pieces=reads_pieces)
             self.board.outbox.append(SendPeer(host, message))
 
-    def _begins(
+    def _try_start(
         self, outcome: str, host: str, change: ViewChange, now: float
     ) -> bool:
-        """Tells whether a mend may begin now, and logs it."""
-        if now < self.due:
+        """Returns whether a reconciliation may start now; logs its start."""
+        if now < self.next_attempt_at:
             return False
-        self.due = now + self.pause_s
-        self.pause_s = min(2 * self.pause_s, MEND_MOST_S)
+        self.next_attempt_at = now + self.backoff_s
+        self.backoff_s = min(2 * self.backoff_s, MAX_RECONCILE_INTERVAL_S)
         view = self.board.view
         self.board.records.decide(
             "view differs",
--- a/notchhoist/flows/published/reroutings.py
+++ b/notchhoist/flows/published/reroutings.py
@@ -1,8 +1,8 @@
-"""Whether flows may be at services that their routes do not name today.
+"""Tracks whether flows may be at services that their routes no longer name.
 
 A flow stays where it was opened when its route changes. A balancer that has
-just started knows today's routes only, so balancers tell each other how long
-ago a route last named something else.
+just started knows the current routes only, so balancers tell each other how
+long ago a route last dropped a service.
 """
 
 from collections import Counter
@@ -12,59 +12,69 @@
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.model.fleet import RouteTable
 
-LONGEST_FLOW_S = 60.0
-"""The platform promises nothing to flows that are older, seconds."""
+MAX_FLOW_AGE_S = 60.0
+"""The platform guarantees nothing for flows that are older, seconds."""
 
-KEPT_S = LONGEST_FLOW_S + 5.0
-"""How long a change is remembered, seconds: what is told is dated back to the
-question, which may be as old as a balancer that counts as alive."""
+KEPT_S = MAX_FLOW_AGE_S + 5.0
+"""How long a change of a route is remembered, seconds. A reported age counts
+from the query, which may be as old as a balancer that still counts as alive."""
 
 
-def told_for_ms(board: BalancerBoard, now: float) -> int:
-    """Returns what to tell others, ms; 0 where no route changed lately."""
+def reroute_age_ms(board: BalancerBoard, now: float) -> int:
+    """Returns how long ago a route changed, to report to other balancers.
+
+    Returns:
+        Milliseconds; 1 while a route names several services, 0 if no route
+        dropped a service lately.
+    """
     if board.splits:
         return 1
     age_s = now - board.rerouted_at
     return max(1, round(age_s * 1000)) if age_s < KEPT_S else 0
 
 
-def on_told(board: BalancerBoard, for_ms: int, asked_at: float) -> None:
-    """Takes another balancer's word.
+def on_reroute_age(
+    board: BalancerBoard, age_ms: int, query_sent_at: float
+) -> None:
+    """Applies the age of a route change that another balancer reports.
 
     Args:
-        board: What the balancer knows.
-        for_ms: How long ago a route last changed; 0 if not lately.
-        asked_at: When the question was asked that this answers, seconds. Dated
-            from the answer's arrival, two balancers that tell each other over
-            a full link would never forget.
+        board: The balancer's blackboard.
+        age_ms: How long ago a route last changed, ms; 0 if not lately.
+        query_sent_at: When the query that this answers was sent, seconds. If
+            the age counted from the arrival of the response, two balancers that
+            report to each other over a saturated link would never forget the
+            change.
     """
-    if for_ms:
-        board.rerouted_at = max(board.rerouted_at, asked_at - for_ms / 1000)
+    if age_ms:
+        board.rerouted_at = max(
+            board.rerouted_at, query_sent_at - age_ms / 1000
+        )
 
 
 def may_hold_others(board: BalancerBoard, now: float) -> bool:
-    """Tells whether a service may hold flows of routes that do not name it."""
+    """Returns whether a service may hold flows of routes not naming it."""
     return board.splits or now - board.rerouted_at < KEPT_S
 
 
 class Reroutings(Struct, eq=False):
-    """Notices routes that no longer name a service.
+    """Detects routes that no longer name a service.
 
     Attributes:
-        board: What the balancer knows.
-        seen: The configuration when it last looked.
+        board: The balancer's blackboard.
+        last_table: The configuration at the last check.
     """
 
     board: BalancerBoard
-    seen: RouteTable | None = None
+    last_table: RouteTable | None = None
 
     def look(self, now: float) -> None:
-        """Takes account of the configuration in force."""
+        """Compares the configuration in force with the last one."""
         board = self.board
         table = board.table
-        if table is None or table is self.seen:
+        if table is None or table is self.last_table:
             return
-        before, self.seen = self.seen, table
+        before, self.last_table = self.last_table, table
         if before is not None and _drops_service(before, table):
             board.rerouted_at = now
         former = before.routes if before is not None else {}
@@ -79,7 +89,7 @@
 
 
 def _drops_service(before: RouteTable, after: RouteTable) -> bool:
-    """Tells whether a route of both no longer names one of its services."""
+    """Returns whether a route of both no longer names one of its services."""
     for key, former in before.routes.items():
         route = after.routes.get(key)
         if route is None or route.targets == former.targets:
--- a/notchhoist/flows/published/sharing.py
+++ b/notchhoist/flows/published/sharing.py
@@ -1,7 +1,7 @@
-"""A balancer's controller for what balancers tell each other.
+"""A balancer's controller that synchronizes its view with other balancers.
 
-A few of them read the platform's store; the others ask these for what has
-changed, and are told at once by those that they have asked.
+A few balancers read the platform's store. The others query these for changes,
+and each balancer pushes changes at once to those that have queried it.
 """
 
 from collections.abc import Iterable
@@ -21,280 +21,300 @@
 from notchhoist.flows.model.revisions import era_of
 from notchhoist.flows.model.view import ViewChange
 from notchhoist.flows.published import reroutings
-from notchhoist.flows.published.asking import hosts_to_ask, pause_s
+from notchhoist.flows.published.asking import hosts_to_query, query_interval_s
 from notchhoist.flows.published.budget import Budget
 from notchhoist.flows.published.fleet_keeper import FleetKeeper
-from notchhoist.flows.published.membership import ALIVE_S, Membership
-from notchhoist.flows.published.mending import ViewMender
-from notchhoist.flows.published.parts import ViewParts
-from notchhoist.flows.published.pieces import ViewPieces
-from notchhoist.flows.published.telling import Context, Question, ViewTeller
+from notchhoist.flows.published.membership import ALIVE_TIMEOUT_S, Membership
+from notchhoist.flows.published.parts import PartAssembler
+from notchhoist.flows.published.pieces import PieceAssembler
+from notchhoist.flows.published.reconciliation import ViewReconciler
+from notchhoist.flows.published.update_messages import (
+    Query,
+    UpdateBuilder,
+    UpdateContext,
+)
 
-FRESH_S = Budget().fresh_s
-"""What was confirmed within this time need not be read again, seconds, where a
-change must be in force within 3 s."""
+MAX_VIEW_AGE_S = Budget().fresh_s
+"""Greatest age of a confirmed view that need not be read again, seconds, with
+the default propagation deadline of 3 s."""
 
-ASKED_WIDELY = 6
-"""Balancers that are asked at once by one that hears no agent."""
+MAX_QUERIED_AT_ONCE = 6
+"""Balancers that are queried at once by one that hears no agent."""
 
-TRY_AGAIN_S = 5.0
-"""How often a balancer that the store does not answer tries again while others
-tell it enough, seconds. Calls are priced, refused ones too."""
+STORE_RETRY_S = 5.0
+"""Time between attempts of a balancer to read a store that does not answer it,
+while others keep its view up to date, seconds. Each call costs money, refused
+ones too."""
 
-GAP_ASK_S = 0.1
-"""Least time between two questions for what a message left out, seconds."""
+GAP_QUERY_INTERVAL_S = 0.1
+"""Least time between two queries for missing changes, seconds."""
 
-ANSWERS_KEPT_S = 10.0
-"""A question is forgotten after this time, seconds: answers to it are stale."""
+QUERY_TIMEOUT_S = 10.0
+"""A query is dropped after this time, seconds; responses to it are stale."""
 
 
 class ViewSharer(Struct, eq=False):
-    """Asks, answers and pushes what the platform has published.
+    """Queries other balancers for published state, responds and pushes updates.
 
     Attributes:
-        board: What the balancer knows.
-        fleet: Takes what is new.
+        board: The balancer's blackboard.
+        fleet: Applies changes.
         seeds: Hosts of some balancers, from the settings.
-        membership: Which balancers there are, and who reads.
-        mender: Has everything told or read anew where views differ.
-        fresh_s: What was confirmed within this time need not be read again.
-        askers: The newest question of each balancer.
-        asked_at: When each question was asked that may still be answered.
-        number: Number of the last question; see ``first_number``.
-        pushed: Revision that the askers were last told.
-        ask_due: When to ask next, seconds.
-        turn: Counts the questions.
-        gap_due: When what a message left out may be asked for again, seconds.
+        membership: Which balancers there are, and which read the store.
+        mender: Reconciles views that should be equal.
+        fresh_s: Greatest age of a confirmed view that need not be read again,
+            seconds.
+        latest_queries: Latest query of each balancer, by host.
+        asked_at: When each query that may still be answered was sent, seconds,
+            by number.
+        last_query_number: Number of the last query; see ``first_number``.
+        pushed_revision: Revision that was last pushed.
+        query_due: When to send the next query, seconds.
+        query_rounds: Counts the rounds of queries.
+        gap_query_due: When missing changes may be queried again, seconds.
         heard_at: When any other balancer was last heard, seconds.
-        parts: Views of which parts have come.
-        pieces: The same of compressed ones.
-        teller: Makes the messages that tell of changes.
+        parts: Reassembles updates that arrive in parts.
+        pieces: Reassembles compressed updates.
+        update_builder: Builds the messages that carry changes.
     """
 
     board: BalancerBoard
     fleet: FleetKeeper
     seeds: tuple[str, ...]
     membership: Membership
-    mender: ViewMender
-    fresh_s: float = FRESH_S
-    askers: dict[str, Question] = field(default_factory=dict)
+    mender: ViewReconciler
+    fresh_s: float = MAX_VIEW_AGE_S
+    latest_queries: dict[str, Query] = field(default_factory=dict)
     asked_at: dict[int, float] = field(default_factory=dict)
-    number: int = 0
-    pushed: int = 0
-    ask_due: float = 0.0
-    turn: int = 0
-    gap_due: float = float("-inf")
+    last_query_number: int = 0
+    pushed_revision: int = 0
+    query_due: float = 0.0
+    query_rounds: int = 0
+    gap_query_due: float = float("-inf")
     heard_at: float = float("-inf")
-    parts: ViewParts = field(default_factory=ViewParts)
-    pieces: ViewPieces = field(default_factory=ViewPieces)
-    teller: ViewTeller = field(default_factory=ViewTeller)
+    parts: PartAssembler = field(default_factory=PartAssembler)
+    pieces: PieceAssembler = field(default_factory=PieceAssembler)
+    update_builder: UpdateBuilder = field(default_factory=UpdateBuilder)
 
     def stale_at(self) -> float:
-        """Returns when what is known becomes too old, seconds."""
+        """Returns when the view becomes too old, seconds."""
         return self.board.confirmed_at + self.fresh_s
 
     def must_read(self, now: float) -> bool:
-        """Tells whether to read the store now."""
+        """Returns whether to read the store now."""
         fresh = now < self.stale_at()
-        few = self.board.uses.few_readers and self.board.fleet_known
-        if not fresh or not few or self.mender.doubtful:
+        readers_only = self.board.uses.few_readers and self.board.fleet_known
+        if not fresh or not readers_only or self.mender.doubtful:
             return True
         if self.membership.is_reader(now):
             return True
         unserved = self.membership.is_unserved(self.board.host)
-        return unserved and now >= self.board.store_failed_at + TRY_AGAIN_S
+        return unserved and now >= self.board.store_failed_at + STORE_RETRY_S
 
     def on_confirmed(self, now: float, age_s: float = 0.0) -> None:
-        """Notes that the platform has confirmed what is known.
+        """Records that the platform has confirmed the view.
 
         Args:
             now: Runtime clock, seconds.
-            age_s: How long ago the platform may have said so, seconds.
+            age_s: How long ago the platform may have confirmed it, seconds.
         """
         if self.board.confirmed_at == float("-inf"):
-            # Those that know nothing yet hear of it and ask back.
-            self._ask(self._seeds(), now)
-        self._note_certain(now - age_s, "")
-        self._push(now)
+            # Seeds that have no view yet send a query back.
+            self._send_queries(self._other_seeds(), now)
+        self._set_confirmed(now - age_s, "")
+        self._push_updates(now)
 
-    def _note_certain(self, at: float, host: str) -> None:
-        """Notes up to when everything published is known, and from whom."""
+    def _set_confirmed(self, at: float, host: str) -> None:
+        """Records up to when all published changes are known, and from whom."""
         if at > self.board.confirmed_at:
             self.board.confirmed_at = at
             self.board.confirmed_by = host
 
-    def _seeds(self) -> list[str]:
+    def _other_seeds(self) -> list[str]:
         return [host for host in self.seeds if host != self.board.host]
 
-    def on_ask(self, host: str, ask: ViewAsk, now: float) -> None:
-        """Answers another balancer; one that knows nothing asks back.
+    def on_ask(self, host: str, view_query: ViewAsk, now: float) -> None:
+        """Responds to a query; sends one back if this balancer has no view.
 
-        After a loss of power the first that the platform answers asks those
-        that all others ask: everybody knows three round trips later.
+        After a power loss the first balancer that the platform answers queries
+        the seeds, which all others query. All have the view three round trips
+        later.
         """
-        if not self.board.fleet_known and ask.revision > 0:
-            self._ask([host], now)
+        if not self.board.fleet_known and view_query.revision > 0:
+            self._send_queries([host], now)
         self.heard_at = now
-        asker = Member(host, ask.link_mbps, unserved=ask.unserved)
-        self.membership.on_heard(asker, now)
-        question = Question(now, ask.revision, ask.number, ask.reads_pieces)
-        self.askers[host] = question
-        self._tell(host, question, now)
+        requester = Member(
+            host, view_query.link_mbps, unserved=view_query.unserved
+        )
+        self.membership.on_member(requester, now)
+        query = Query(
+            now, view_query.revision, view_query.number, view_query.reads_pieces
+        )
+        self.latest_queries[host] = query
+        self._send_update(host, query, now)
 
-    def _tell(self, host: str, question: Question, now: float) -> None:
+    def _send_update(self, host: str, query: Query, now: float) -> None:
         if not self.board.fleet_known:
             return
-        context = Context(
+        context = UpdateContext(
             age_s=now - self.board.confirmed_at,
-            members=self.membership.told(now),
-            asked=question.number,
+            members=self.membership.members_to_send(now),
+            asked=query.number,
             placing_for_ms=self._placing_for_ms(now),
-            rerouted_for_ms=reroutings.told_for_ms(self.board, now),
+            rerouted_for_ms=reroutings.reroute_age_ms(self.board, now),
         )
-        change = self.board.view.since(question.revision)
-        in_pieces = self.board.uses.pieces and question.reads_pieces
-        for message in self.teller.messages(change, context, in_pieces):
+        change = self.board.view.since(query.revision)
+        in_pieces = self.board.uses.pieces and query.reads_pieces
+        for message in self.update_builder.build(change, context, in_pieces):
             self.board.outbox.append(SendPeer(host, message))
 
     def _placing_for_ms(self, now: float) -> int:
         since = self.board.placing_since
         return max(1, int((now - since) * 1000)) if since <= now else 0
 
-    def _push(self, now: float) -> None:
-        """Tells the askers of a change before they ask again."""
-        if self.board.view.revision == self.pushed:
+    def _push_updates(self, now: float) -> None:
+        """Pushes a change to recent requesters before they query again."""
+        if self.board.view.revision == self.pushed_revision:
             return
-        self.pushed = self.board.view.revision
-        for host, question in list(self.askers.items()):
-            if now - question.at < ALIVE_S:
-                self._tell(host, question, now)
-                question.revision = self.pushed
+        self.pushed_revision = self.board.view.revision
+        for host, query in list(self.latest_queries.items()):
+            if now - query.received_at < ALIVE_TIMEOUT_S:
+                self._send_update(host, query, now)
+                query.revision = self.pushed_revision
             else:
-                del self.askers[host]
+                del self.latest_queries[host]
 
     def on_piece(self, host: str, piece: ViewPiece, now: float) -> None:
-        """Takes a piece of what another balancer knows."""
-        self._take_context(host, piece, now)
-        if self._is_known(piece):
+        """Handles a piece of a compressed update."""
+        self._apply_context(host, piece, now)
+        if self._is_redundant(piece):
             if not self._is_of_earlier_era(piece):
-                self._note_confirmed(host, piece)
+                self._confirm_as_of_query(host, piece)
             return
         try:
-            tell = self.pieces.whole(host, piece, now)
+            update = self.pieces.add(host, piece, now)
         except CodecError as error:
             self.board.records.counters[Count.MALFORMED] += 1
             self.board.records.decide(
                 "view refused", b"", str(error), teller=host
             )
             return
-        if tell is not None:
-            self.on_tell(host, tell, now)
+        if update is not None:
+            self.on_tell(host, update, now)
 
-    def _is_known(self, piece: ViewPiece) -> bool:
-        """Tells whether a whole view in answer to a question brings no news.
+    def _is_redundant(self, piece: ViewPiece) -> bool:
+        """Returns whether a full view in response to a query is known already.
 
-        Several tell the same at once to whoever has just started. What was
-        asked for without a number is to mend a view, and is read.
+        A balancer that has just started gets the same view from several others.
+        A view requested without a number serves to reconcile views and is never
+        redundant.
         """
         known = self.board.fleet_known and piece.asked > 0 and not piece.base
         return known and piece.revision <= self.board.view.revision
 
-    def on_tell(self, host: str, tell: ViewTell, now: float) -> None:
-        """Takes what another balancer knows."""
-        self._take_context(host, tell, now)
-        change = self.parts.whole(host, tell, now)
+    def on_tell(self, host: str, update: ViewTell, now: float) -> None:
+        """Handles an update of another balancer."""
+        self._apply_context(host, update, now)
+        change = self.parts.add(host, update, now)
         if change is None or self._is_of_earlier_era(change):
             return
         before = self.board.view.revision
         if self.fleet.on_change(change, now, host):
-            self._note_confirmed(host, tell)
+            self._confirm_as_of_query(host, update)
             self.mender.check(host, change, now)
         elif change.base > before:
-            self._ask_about_gap(host, now)
+            self._query_gap(host, now)
         else:
-            self.mender.ask_for_all(host, change, now)
+            self.mender.request_full_view(host, change, now)
         self.board.records.counters[Count.VIEWS_TOLD] += 1
-        self._push(now)
+        self._push_updates(now)
 
-    def _take_context(
-        self, host: str, tell: ViewTell | ViewPiece, now: float
+    def _apply_context(
+        self, host: str, update: ViewTell | ViewPiece, now: float
     ) -> None:
-        """Takes what is told beside a change, whatever becomes of that."""
+        """Applies what is sent along with a change, even if that is ignored."""
         self.heard_at = now
         self.membership.on_message(host, now)
-        for member in tell.members:
-            self.membership.on_heard(member, now)
-        if tell.placing_for_ms:
-            since = now - tell.placing_for_ms / 1000
+        for member in update.members:
+            self.membership.on_member(member, now)
+        if update.placing_for_ms:
+            since = now - update.placing_for_ms / 1000
             self.board.placing_since = min(self.board.placing_since, since)
-        asked_at = self.asked_at.get(tell.asked, now)
-        reroutings.on_told(self.board, tell.rerouted_for_ms, asked_at)
+        sent_at = self.asked_at.get(update.asked, now)
+        reroutings.on_reroute_age(self.board, update.rerouted_for_ms, sent_at)
 
     def _is_of_earlier_era(self, change: ViewChange | ViewPiece) -> bool:
-        """Tells whether a teller has not heard of a restore of the store.
+        """Returns whether a sender does not know of a restore of the store yet.
 
-        What it takes for confirmed lately was so before the restore.
+        Its view may have been confirmed lately, but before the restore.
         """
         return era_of(change.revision) < era_of(self.board.view.revision)
 
-    def _note_confirmed(self, host: str, tell: ViewTell | ViewPiece) -> None:
-        """Notes since when what was told is confirmed for certain.
+    def _confirm_as_of_query(
+        self, host: str, update: ViewTell | ViewPiece
+    ) -> None:
+        """Records up to when an update is certainly confirmed.
 
-        The age is as of the telling, which came after the question that it
-        names, and a tell may wait for a second before a full link.
+        Its age is as of the sending, which came after the query that it names.
+        An update may be queued for a second at a saturated link, so its arrival
+        time is no measure.
         """
-        asked_at = self.asked_at.get(tell.asked)
-        if asked_at is not None:
-            self._note_certain(asked_at - tell.age_s, host)
+        sent_at = self.asked_at.get(update.asked)
+        if sent_at is not None:
+            self._set_confirmed(sent_at - update.age_s, host)
 
-    def _ask_about_gap(self, host: str, now: float) -> None:
-        """Asks for what came between what is known and a difference."""
-        if now >= self.gap_due:
-            self.gap_due = now + GAP_ASK_S
-            self._ask([host], now)
+    def _query_gap(self, host: str, now: float) -> None:
+        """Queries the changes between the view and the base of an update."""
+        if now >= self.gap_query_due:
+            self.gap_query_due = now + GAP_QUERY_INTERVAL_S
+            self._send_queries([host], now)
 
     def tick(self, now: float) -> None:
-        """Asks one of the readers; forgets what is old."""
-        if now < self.ask_due:
+        """Queries one of the readers and drops expired state."""
+        if now < self.query_due:
             return
-        knows = self.board.fleet_known
-        self.ask_due = now + pause_s(knows)
-        self.turn += 1
+        view_known = self.board.fleet_known
+        self.query_due = now + query_interval_s(view_known)
+        self.query_rounds += 1
         alive = self.membership.alive(now)
         alive.remove(self.board.host)
-        seeds = [host for host in self._seeds() if host not in alive]
-        self._ask(hosts_to_ask(self.turn, alive, seeds, knows), now)
+        seeds = [host for host in self._other_seeds() if host not in alive]
+        self._send_queries(
+            hosts_to_query(self.query_rounds, alive, seeds, view_known), now
+        )
         self.membership.sweep(now)
         for number, at in list(self.asked_at.items()):
-            if now - at > ANSWERS_KEPT_S:
+            if now - at > QUERY_TIMEOUT_S:
                 del self.asked_at[number]
         self.parts.sweep(now)
         self.pieces.sweep(now)
 
-    def _ask(self, hosts: Iterable[str], now: float) -> None:
+    def _send_queries(self, hosts: Iterable[str], now: float) -> None:
         for host in dict.fromkeys(hosts):
-            self.number += 1
-            self.asked_at[self.number] = now
+            self.last_query_number += 1
+            self.asked_at[self.last_query_number] = now
             message = ViewAsk(
                 self.board.view.revision,
                 self.membership.link_mbps,
-                self.number,
+                self.last_query_number,
                 self.board.uses.pieces,
                 self.membership.is_unserved(self.board.host),
             )
             self.board.outbox.append(SendPeer(host, message))
 
     def knows_others(self) -> bool:
-        """Tells whether there are other balancers at all."""
-        return bool(self.membership.others(self.seeds))
+        """Returns whether any other balancer is known."""
+        return bool(self.membership.other_hosts(self.seeds))
 
     def ask_widely(self, now: float) -> None:
-        """Asks several balancers at once; any answer shows a path."""
-        self._ask(self.membership.others(self.seeds)[:ASKED_WIDELY], now)
+        """Queries several balancers; any response shows connectivity."""
+        self._send_queries(
+            self.membership.other_hosts(self.seeds)[:MAX_QUERIED_AT_ONCE], now
+        )
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
-        return self.ask_due
+        return self.query_due
 
 
 def make_view_sharer(
@@ -304,15 +324,17 @@
     link_mbps: int,
     number: int,
 ) -> ViewSharer:
-    """Makes what shares a balancer's view with others.
+    """Creates the controller that synchronizes a balancer's view.
 
     Args:
-        board: What the balancer knows.
-        fleet: Takes what is new.
+        board: The balancer's blackboard.
+        fleet: Applies changes.
         seeds: Hosts of some balancers.
-        link_mbps: What the host's link carries, Mbit/s.
-        number: Number that the first question follows.
+        link_mbps: Bandwidth of the host's link, Mbit/s.
+        number: Number that precedes that of the first query.
     """
     membership = Membership(board, link_mbps)
-    mender = ViewMender(board, membership)
-    return ViewSharer(board, fleet, seeds, membership, mender, number=number)
+    mender = ViewReconciler(board, membership)
+    return ViewSharer(
+        board, fleet, seeds, membership, mender, last_query_number=number
+    )
--- a/notchhoist/flows/published/tests/test_parts.py
+++ b/notchhoist/flows/published/tests/test_parts.py
@@ -7,7 +7,11 @@
 from notchhoist.flows.model.fleet import ColdBound
 from notchhoist.flows.model.messages import Member, ViewAsk, ViewTell
 from notchhoist.flows.model.view import FleetView, ViewChange
-from notchhoist.flows.published.parts import ViewParts, join, split
+from notchhoist.flows.published.parts import (
+    PartAssembler,
+    join_parts,
+    split_change,
+)
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.crafting import entry
 
@@ -27,13 +31,13 @@
         evacuated=tuple((f"zone-{n}", n) for n in range(gone)),
         returned=tuple((f"other-{n}", n) for n in range(gone)),
     )
-    parts = split(change)
+    parts = split_change(change)
     for part in parts:
         tell = ViewTell(part, 0.5, (Member("10.0.0.1", 5),), 0, len(parts))
         data = encode_message(tell)
         assert len(data) < 1400
         assert decode_message(data) == tell
-    assert join(parts) == change
+    assert join_parts(parts) == change
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(0, 3)), max_size=30))
@@ -88,12 +92,14 @@
 
 def test_parts_of_two_answers_that_begin_elsewhere_are_not_mixed():
     """Joined, they lacked what only the other halves told."""
-    parts = ViewParts()
-    early = split(ViewChange(9, base=3, removed_servers=letters("a", 24)))
-    late = split(ViewChange(9, base=6, removed_servers=letters("b", 24)))
-    assert parts.whole("h", ViewTell(early[0], 0.0, (), 0, 2), 0.0) is None
-    assert parts.whole("h", ViewTell(late[1], 0.0, (), 1, 2), 0.0) is None
-    whole = parts.whole("h", ViewTell(late[0], 0.0, (), 0, 2), 0.0)
+    parts = PartAssembler()
+    early = split_change(
+        ViewChange(9, base=3, removed_servers=letters("a", 24))
+    )
+    late = split_change(ViewChange(9, base=6, removed_servers=letters("b", 24)))
+    assert parts.add("h", ViewTell(early[0], 0.0, (), 0, 2), 0.0) is None
+    assert parts.add("h", ViewTell(late[1], 0.0, (), 1, 2), 0.0) is None
+    whole = parts.add("h", ViewTell(late[0], 0.0, (), 0, 2), 0.0)
     assert whole is not None
     assert whole.removed_servers == letters("b", 24)
 
--- a/notchhoist/flows/published/tests/test_pieces.py
+++ b/notchhoist/flows/published/tests/test_pieces.py
@@ -65,9 +65,9 @@
     pack = pieces_module.ViewPacker.pack
 
     def counted(self, change):
-        known = self.change
+        known = self.packed_change
         result = pack(self, change)
-        made.append(self.change is not known)
+        made.append(self.packed_change is not known)
         return result
 
     monkeypatch.setattr(pieces_module.ViewPacker, "pack", counted)
--- a/notchhoist/flows/published/tests/test_sharing.py
+++ b/notchhoist/flows/published/tests/test_sharing.py
@@ -8,8 +8,8 @@
 from notchhoist.flows.model.effects import SendPeer
 from notchhoist.flows.model.messages import ViewTell
 from notchhoist.flows.model.view import FleetView, ViewChange
-from notchhoist.flows.published.membership import ALIVE_S
-from notchhoist.flows.published.sharing import FRESH_S
+from notchhoist.flows.published.membership import ALIVE_TIMEOUT_S
+from notchhoist.flows.published.sharing import MAX_VIEW_AGE_S
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.crafting import CODEC, entry
 
@@ -109,7 +109,7 @@
     fleet = calm_fleet()
     quiet = (set(HOSTS) - fleet.readers()).pop()
     fleet.cut = {quiet}
-    fleet.run(fleet.now + FRESH_S + 0.1)
+    fleet.run(fleet.now + MAX_VIEW_AGE_S + 0.1)
     assert quiet in fleet.readers()
 
 
@@ -118,7 +118,7 @@
     quiet = (set(HOSTS) - fleet.readers()).pop()
     fleet.nodes[quiet].sharer.fresh_s = 4.5
     fleet.cut = {quiet}
-    fleet.run(fleet.now + FRESH_S + 0.1)
+    fleet.run(fleet.now + MAX_VIEW_AGE_S + 0.1)
     assert not fleet.nodes[quiet].sharer.must_read(fleet.now) or (
         fleet.nodes[quiet].sharer.membership.is_reader(fleet.now)
     )
@@ -129,7 +129,7 @@
     dead = fleet.readers().pop()
     del fleet.nodes[dead]
     fleet.cut = {dead}
-    for _ in range(int(2 * ALIVE_S)):
+    for _ in range(int(2 * ALIVE_TIMEOUT_S)):
         for host in fleet.readers():
             fleet.nodes[host].sharer.on_confirmed(fleet.now)
         fleet.run(fleet.now + 0.5)
@@ -324,7 +324,7 @@
     ]
     asker.on_peer(HOSTS[0], tell, 11.0)
     assert asker.board.confirmed_at <= 10.0
-    assert asker.sharer.must_read(10.0 + FRESH_S)
+    assert asker.sharer.must_read(10.0 + MAX_VIEW_AGE_S)
 
 
 def test_an_answer_to_no_question_of_ours_confirms_nothing():
--- a/notchhoist/flows/published/telling.py
+++ b/notchhoist/flows/published/update_messages.py
@@ -1,36 +1,36 @@
-"""Makes the messages that tell another balancer of a change of the view."""
+"""Builds the messages that send a change of the view to another balancer."""
 
 from msgspec import Struct, field
 
 from notchhoist.flows.model.messages import Member, ViewPiece, ViewTell
 from notchhoist.flows.model.view import ViewChange
-from notchhoist.flows.published.parts import RECORDS_A_PART, split
+from notchhoist.flows.published.parts import RECORDS_PER_PART, split_change
 from notchhoist.flows.published.pieces import ViewPacker
 
 
-class Question(Struct, eq=False):
-    """The newest question of another balancer, and what it knows.
+class Query(Struct, eq=False):
+    """The latest query of another balancer and the revision that it has.
 
     Attributes:
-        at: When it came, seconds.
-        revision: Everything up to this revision is known there.
-        number: Its number.
+        received_at: When the query arrived, seconds.
+        revision: The other balancer knows everything up to this revision.
+        number: Number of the query.
         reads_pieces: See ``ViewAsk``.
     """
 
-    at: float
+    received_at: float
     revision: int
     number: int
     reads_pieces: bool
 
 
-class Context(Struct, frozen=True):
-    """What is told beside a change; see ``ViewTell``.
+class UpdateContext(Struct, frozen=True):
+    """What is sent along with a change; see ``ViewTell``.
 
     Attributes:
         age_s: Time since the platform confirmed the change, seconds.
         members: Balancers that were heard lately.
-        asked: Number of the question that is answered.
+        asked: Number of the query that is answered.
         placing_for_ms: For how long flows may have been placed, ms.
         rerouted_for_ms: How long ago a route last changed its services, ms.
     """
@@ -42,8 +42,8 @@
     rerouted_for_ms: int
 
 
-class ViewTeller(Struct, eq=False):
-    """Makes messages that fit a datagram each.
+class UpdateBuilder(Struct, eq=False):
+    """Builds messages that fit into one datagram each.
 
     Attributes:
         packer: Compresses large changes.
@@ -51,24 +51,24 @@
 
     packer: ViewPacker = field(default_factory=ViewPacker)
 
-    def messages(
-        self, change: ViewChange, context: Context, in_pieces: bool
+    def build(
+        self, change: ViewChange, context: UpdateContext, in_pieces: bool
     ) -> list[ViewTell] | list[ViewPiece]:
-        """Returns the messages that tell of a change.
+        """Returns the messages that carry a change.
 
         Args:
             change: The change.
-            context: What is told beside it.
-            in_pieces: The receiver understands pieces.
+            context: What is sent along with it.
+            in_pieces: The receiver understands ``ViewPiece``.
         """
         records = len(change.routes) + len(change.servers)
-        if in_pieces and records > RECORDS_A_PART:
-            return _in_pieces(change, self.packer.pack(change), context)
-        return _in_parts(change, context)
+        if in_pieces and records > RECORDS_PER_PART:
+            return _piece_messages(change, self.packer.pack(change), context)
+        return _part_messages(change, context)
 
 
-def _in_pieces(
-    change: ViewChange, packed: list[bytes], context: Context
+def _piece_messages(
+    change: ViewChange, packed: list[bytes], context: UpdateContext
 ) -> list[ViewPiece]:
     return [
         ViewPiece(
@@ -87,8 +87,10 @@
     ]
 
 
-def _in_parts(change: ViewChange, context: Context) -> list[ViewTell]:
-    parts = split(change)
+def _part_messages(
+    change: ViewChange, context: UpdateContext
+) -> list[ViewTell]:
+    parts = split_change(change)
     return [
         ViewTell(
             item,
