--- a/notchhoist/flows/published/eras.py
+++ b/notchhoist/flows/published/eras.py
@@ -90,7 +90,7 @@
         board.records.decide(
             "store restored",
             b"",
-            f"grace period of {RESTORE_GRACE_S} s",
+            f"grace period ends in {RESTORE_GRACE_S} s",
             before=before,
             revision=revision,
         )
--- a/notchhoist/flows/published/reconciliation.py
+++ b/notchhoist/flows/published/reconciliation.py
@@ -67,9 +67,9 @@
     ) -> None:
         """Requests the full view of another balancer."""
         if self._try_start("asked for everything", host, change, now):
-            reads_pieces = self.board.uses.pieces
+            pieces_enabled = self.board.uses.pieces
             link_mbps = self.membership.link_mbps
-            message = ViewAsk(0, link_mbps, reads_pieces=reads_pieces)
+            message = ViewAsk(0, link_mbps, reads_pieces=pieces_enabled)
             self.board.outbox.append(SendPeer(host, message))
 
     def _try_start(
--- a/notchhoist/flows/published/sharing.py
+++ b/notchhoist/flows/published/sharing.py
@@ -334,7 +334,7 @@
         number: Number that precedes that of the first query.
     """
     membership = Membership(board, link_mbps)
-    mender = ViewReconciler(board, membership)
+    reconciler = ViewReconciler(board, membership)
     return ViewSharer(
-        board, fleet, seeds, membership, mender, last_query_number=number
+        board, fleet, seeds, membership, reconciler, last_query_number=number
     )
--- a/notchhoist/flows/published/tests/test_eras.py
+++ b/notchhoist/flows/published/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""What balancers know is carried over restores of the platform's store."""
+"""Views of balancers over restores of the platform's store from a backup."""
 
 import random
 
@@ -20,90 +20,92 @@
     return make_revision(era, count)
 
 
-def listed(node, entries, revision, now=0.0, **fields):
+def list_servers(node, entries, revision, now=0.0, **fields):
     node.fleet.on_listing(entries, revision, now, **fields)
     return node
 
 
-def knowing(*entries, host=HOSTS[0]):
-    """A balancer that knows some entries at 63 of the first era."""
+def balancer_with(*entries, host=HOSTS[0]):
+    """A balancer that has some entries at revision 63 of the first era."""
     node = make_balancer("a", CODEC, host, host)
     node.fleet.tables.on_table(crafting.table(4), at(60))
-    return listed(node, [(item, at(41)) for item in entries], at(63))
+    return list_servers(node, [(item, at(41)) for item in entries], at(63))
 
 
-def test_a_server_that_leaves_does_not_become_ready_by_a_copy():
-    node = knowing(entry(1, draining=True))
-    listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
+def test_restore_does_not_make_a_draining_server_ready():
+    node = balancer_with(entry(1, draining=True))
+    list_servers(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
     assert node.board.servers["s1"].entry.draining
     assert node.board.view.servers["s1"].draining
 
 
-def test_one_whose_removal_was_known_does_not_either():
-    node = knowing(entry(1, draining=True))
+def test_restore_does_not_make_a_removed_draining_server_ready():
+    node = balancer_with(entry(1, draining=True))
     node.fleet.on_removed("s1", at(64), 0.5)
-    listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
+    list_servers(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
     assert node.board.servers["s1"].entry.draining
 
 
-def test_an_entry_that_could_not_be_read_counts_as_the_copy_has_it():
-    node = knowing(entry(1))
+def test_restored_entry_replaces_an_invalid_one():
+    node = balancer_with(entry(1))
     node.fleet.on_refused("s1", at(64))
-    listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
+    list_servers(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
     assert not node.board.servers["s1"].entry.draining
 
 
-def test_a_server_that_started_again_is_not_the_former_one_again():
-    node = knowing(entry(1, born_ms=9))
+def test_restore_does_not_bring_back_a_former_incarnation():
+    node = balancer_with(entry(1, born_ms=9))
     server = node.board.servers["s1"]
-    listed(node, [(entry(1, born_ms=5), at(40, 2))], at(57, 2), 1.0)
+    list_servers(node, [(entry(1, born_ms=5), at(40, 2))], at(57, 2), 1.0)
     assert node.board.servers["s1"] is server
     assert server.entry.born_ms == 9
 
 
-def test_a_warm_server_does_not_turn_cold_by_a_copy():
-    node = knowing(entry(1, warm_in_s=2.0))
+def test_restore_does_not_make_a_warm_server_cold():
+    node = balancer_with(entry(1, warm_in_s=2.0))
     warm_at = node.board.servers["s1"].warm_at
-    copied = entry(1, warm_in_s=2.0, created=at(40, 2))
-    listed(node, [(copied, at(40, 2))], at(57, 2), 30.0)
+    restored_entry = entry(1, warm_in_s=2.0, created=at(40, 2))
+    list_servers(node, [(restored_entry, at(40, 2))], at(57, 2), 30.0)
     assert node.board.servers["s1"].warm_at == warm_at
 
 
-def test_an_evacuation_holds_until_the_store_has_settled():
-    node = knowing(entry(1))
+def test_evacuation_holds_during_the_grace_period():
+    node = balancer_with(entry(1))
     node.fleet.zones.on_evacuated("a", at(64), 0.5)
-    listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
+    list_servers(node, [(entry(1), at(40, 2))], at(57, 2), 1.0)
     assert set(node.board.view.evacuated) == {"a"}
     assert not node.fleet.must_list_again(1.0 + RESTORE_GRACE_S - 0.1)
     assert node.fleet.must_list_again(1.0 + RESTORE_GRACE_S)
-    listed(node, [(entry(1), at(40, 2))], at(57, 2), 1.0 + RESTORE_GRACE_S)
+    list_servers(
+        node, [(entry(1), at(40, 2))], at(57, 2), 1.0 + RESTORE_GRACE_S
+    )
     assert not node.board.view.evacuated
     assert not node.fleet.must_list_again(10.0)
 
 
-def test_a_former_server_in_the_copy_does_not_replace_the_one_after_it():
-    """The copy's entries were created before what was lost with it."""
+def test_restored_older_server_does_not_replace_its_successor():
+    """Entries of a backup were created before those that it had lost."""
     new = entry(1, server_id="new", created=at(60))
-    node = knowing(new)
+    node = balancer_with(new)
     old = entry(1, server_id="old", created=at(40, 2))
-    listed(node, [(old, at(40, 2))], at(57, 2), 1.0)
+    list_servers(node, [(old, at(40, 2))], at(57, 2), 1.0)
     assert node.board.by_host["10.0.0.1"].entry.server_id == "new"
     again = entry(1, server_id="new", created=at(58, 2))
     node.fleet.on_entry(again, at(58, 2), 1.5)
     assert node.board.by_host["10.0.0.1"].entry.server_id == "new"
 
 
-def test_servers_created_after_the_restore_replace_those_before():
-    """Its count, 58, was lower than that of the server it came after."""
-    node = knowing(entry(1, server_id="old", created=at(60)))
-    listed(node, [], at(57, 2), 1.0)
+def test_server_created_after_a_restore_replaces_an_older_one():
+    """Guards against comparing counts only: 58 is below 60, but a later era."""
+    node = balancer_with(entry(1, server_id="old", created=at(60)))
+    list_servers(node, [], at(57, 2), 1.0)
     new = entry(1, server_id="new", created=at(58, 2))
     node.fleet.on_entry(new, at(58, 2), 1.5)
     assert node.board.by_host["10.0.0.1"].entry.server_id == "new"
 
 
-def tell(source, target, now=1.0):
-    """Tells what is new; and everything, if the target asks for that then."""
+def send_update(source, target, now=1.0):
+    """Sends a change, and the full view if the target then requests it."""
     target.take_effects()
     host = source.board.host
     known = target.board.view.revision
@@ -121,26 +123,32 @@
         target.sharer.on_tell(host, ViewTell(change, 0.0, ()), now)
 
 
-def test_a_balancer_that_has_not_heard_of_the_restore_confirms_nothing():
-    behind = knowing(entry(1), host=HOSTS[1])
-    node = listed(knowing(entry(1)), [(entry(1), at(41, 2))], at(57, 2), 1.0)
+def test_update_of_an_earlier_era_confirms_nothing():
+    outdated = balancer_with(entry(1), host=HOSTS[1])
+    node = list_servers(
+        balancer_with(entry(1)), [(entry(1), at(41, 2))], at(57, 2), 1.0
+    )
     node.sharer.asked_at[7] = 1.0
-    change = behind.board.view.since(node.board.view.revision)
+    change = outdated.board.view.since(node.board.view.revision)
     node.sharer.on_tell(HOSTS[1], ViewTell(change, 0.0, (), asked=7), 1.1)
     assert node.board.confirmed_at == float("-inf")
     assert era_of(node.board.view.revision) == 2
 
 
-def test_who_read_an_older_configuration_is_told_the_one_written_again():
-    """It asked from beyond our revision of it, and was told nothing."""
-    node = knowing(entry(1))
+def test_balancer_with_a_restored_older_configuration_gets_the_rewritten_one():
+    """Guards against a response that leaves out the newer configuration.
+
+    A balancer that has read an older one from the restored store queries from a
+    later revision than that at which the others got the newer one.
+    """
+    node = balancer_with(entry(1))
     started = make_balancer("a", CODEC, "n", HOSTS[1])
     started.fleet.tables.on_table(crafting.table(3), at(30, 2))
     for one in (node, started):
-        listed(one, [(entry(1), at(41, 2))], at(57, 2), 1.0)
+        list_servers(one, [(entry(1), at(41, 2))], at(57, 2), 1.0)
     node.fleet.tables.on_table(crafting.table(4), at(58, 2))
     node.board.view.reach(at(58, 2))
-    tell(node, started)
+    send_update(node, started)
     assert started.board.table.version == 4
 
 
@@ -161,12 +169,12 @@
 
 
 WITHDRAWN_AND_RESTORED = [("evacuate", 0, 0, 0), ("restore", 0, 0, 0)]
-"""After it a reader takes an evacuation back at a revision that others have
-already; they notice by their counts and ask for everything."""
+"""A reader then removes an evacuation at a revision that others have already.
+They notice it by the totals of the update and request the full view."""
 
 
-class Published:
-    """A platform's store that can come back from a copy."""
+class RestorableStore:
+    """A platform's store that can be restored from a backup."""
 
     def __init__(self):
         self.era = 1
@@ -174,7 +182,7 @@
         self.version, self.version_at = 1, 1
         self.entries = {}
         self.zones = {}
-        self.copied = self.state()
+        self.backup = self.state()
 
     def state(self):
         return (
@@ -191,13 +199,13 @@
         self.entries[name] = (fields, created, self.count)
 
     def restore(self):
-        """Comes back from the copy; what was lost is written again.
+        """Restores the backup and repeats the writes that it had lost.
 
-        The order is another one, so that counts name other changes.
+        Their order differs, so that counts stand for other changes than before.
         """
         _, (version, _), entries, zones = self.state()
-        self.count, (old, at_old), self.entries, self.zones = self.copied
-        self.version, self.version_at = old, at_old
+        self.count, (old, old_at), self.entries, self.zones = self.backup
+        self.version, self.version_at = old, old_at
         self.era += 1
         names = list(entries)
         random.Random(len(names)).shuffle(names)
@@ -213,7 +221,7 @@
         if version > self.version:
             self.count += 1
             self.version, self.version_at = version, self.count
-        self.copied = self.state()
+        self.backup = self.state()
 
     def evacuate(self, zone):
         self.count += 1
@@ -232,15 +240,15 @@
             for name, (fields, created, changed) in self.entries.items()
         ]
         zones = [(zone, at(when, era)) for zone, when in self.zones.items()]
-        listed(node, entries, at(self.count, era), now, evacuated=zones)
+        list_servers(node, entries, at(self.count, era), now, evacuated=zones)
 
 
 @settings(max_examples=150, deadline=None)
 @given(steps)
 @example([("evacuate", 0, 0, 0), ("read", 0, 0, 0), *WITHDRAWN_AND_RESTORED])
-def test_whatever_is_restored_the_newest_is_known_everywhere(steps):
-    """Restores, reads, tells and restarts in any order."""
-    platform = Published()
+def test_views_converge_on_the_newest_state_over_restores(steps):
+    """Backups, restores, reads, updates and restarts in any order."""
+    platform = RestorableStore()
     nodes = [make_balancer("a", CODEC, str(n), HOSTS[n]) for n in range(3)]
     now = 0.0
     for action, one, other, number in steps:
@@ -257,7 +265,7 @@
             case "evacuate":
                 platform.evacuate(f"z{number}")
             case "copy":
-                platform.copied = platform.state()
+                platform.backup = platform.state()
             case "restore":
                 platform.restore()
             case "read":
@@ -265,12 +273,12 @@
             case "restart":
                 nodes[one] = make_balancer("a", CODEC, "x", HOSTS[one])
             case "tell" if one != other and nodes[one].board.fleet_known:
-                tell(nodes[one], nodes[other], now)
+                send_update(nodes[one], nodes[other], now)
     for _ in range(2):
         now += 2 * RESTORE_GRACE_S
         platform.read(nodes[0], now)
         for node in nodes[1:]:
-            tell(nodes[0], node, now)
+            send_update(nodes[0], node, now)
     for node in nodes:
         assert node.board.table.version == platform.version
         assert set(node.board.view.evacuated) == set(platform.zones)
--- a/notchhoist/flows/published/tests/test_membership.py
+++ b/notchhoist/flows/published/tests/test_membership.py
@@ -1,9 +1,9 @@
-"""Who reads the platform's store: those that are alive and that it answers."""
+"""Selection of readers: balancers that are alive and that the store answers."""
 
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model.messages import Member
 from notchhoist.flows.published.sharing import STORE_RETRY_S
-from notchhoist.flows.published.tests.test_sharing import HOSTS, calm_fleet
+from notchhoist.flows.published.tests.test_sharing import HOSTS, stable_fleet
 from notchhoist.flows.tests.crafting import CODEC
 
 
@@ -12,16 +12,16 @@
         fleet.nodes[host].board.store_failed_at = fleet.now
 
 
-def test_others_read_when_the_store_does_not_answer_the_readers():
-    fleet = calm_fleet()
-    [one, other] = readers = fleet.readers()
-    fail_calls(fleet, one, other)
+def test_others_read_if_the_store_does_not_answer_the_readers():
+    fleet = stable_fleet()
+    [first, second] = readers = fleet.readers()
+    fail_calls(fleet, first, second)
     fleet.run(fleet.now + 1.5)
     assert len(fleet.readers() - readers) == 2
 
 
-def test_a_reader_that_the_store_does_not_answer_tries_again_now_and_then():
-    fleet = calm_fleet()
+def test_reader_without_an_answer_of_the_store_retries_periodically():
+    fleet = stable_fleet()
     reader = fleet.readers().pop()
     fail_calls(fleet, reader)
     fleet.run(fleet.now + 1.0)
@@ -31,8 +31,8 @@
     assert node.sharer.must_read(node.board.store_failed_at + STORE_RETRY_S)
 
 
-def test_a_reader_that_is_answered_again_reads_again():
-    fleet = calm_fleet()
+def test_reader_resumes_once_the_store_answers_again():
+    fleet = stable_fleet()
     readers = fleet.readers()
     fail_calls(fleet, *readers)
     fleet.run(fleet.now + 1.5)
@@ -44,7 +44,7 @@
     assert fleet.readers() == readers
 
 
-def test_what_others_say_of_a_balancer_does_not_replace_newer_word():
+def test_older_report_of_a_member_does_not_replace_a_newer_one():
     node = make_balancer("a", CODEC, "n", HOSTS[0])
     membership = node.sharer.membership
     membership.on_member(Member(HOSTS[1], 100, 0, unserved=False), 10.0)
@@ -52,14 +52,14 @@
     assert not membership.is_unserved(HOSTS[1])
 
 
-def test_balancers_that_read_are_told_of_though_many_before_them_cannot():
+def test_readers_are_sent_although_many_unserved_members_rank_before_them():
     node = make_balancer("a", CODEC, "n", HOSTS[0])
     membership = node.sharer.membership
     for number in range(40):
-        cut = Member(f"10.1.0.{number}", 1000, unserved=True)
-        membership.on_member(cut, 5.0)
+        unserved_member = Member(f"10.1.0.{number}", 1000, unserved=True)
+        membership.on_member(unserved_member, 5.0)
     reader = Member("10.2.0.1", 10)
     membership.on_member(reader, 5.0)
-    told = membership.members_to_send(5.0)
-    assert reader in told
-    assert sum(member.unserved for member in told) > 10
+    sent = membership.members_to_send(5.0)
+    assert reader in sent
+    assert sum(member.unserved for member in sent) > 10
--- a/notchhoist/flows/published/tests/test_parts.py
+++ b/notchhoist/flows/published/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Views as messages: they fit, join again, and anything else is refused."""
+"""Changes as messages: size, reassembly and refusal of invalid bytes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 @given(st.integers(0, 60), st.integers(0, 40), st.integers(0, 9))
-def test_parts_of_a_view_fit_a_datagram_and_join_again(routes, servers, gone):
+def test_parts_fit_into_a_datagram_and_reassemble(routes, servers, removed):
     change = ViewChange(
         revision=7,
         base=3,
@@ -25,11 +25,11 @@
         idle_s=15.0,
         routes=tuple(crafting.route(port=1000 + n) for n in range(routes)),
         servers=tuple((entry(n), n) for n in range(servers)),
-        removed_routes=tuple(bytes([n]) * 6 for n in range(gone)),
-        removed_servers=tuple(f"s{n}" for n in range(gone)),
-        cold_bounds=tuple(ColdBound(f"x{n}", 6.0, 2.0) for n in range(gone)),
-        evacuated=tuple((f"zone-{n}", n) for n in range(gone)),
-        returned=tuple((f"other-{n}", n) for n in range(gone)),
+        removed_routes=tuple(bytes([n]) * 6 for n in range(removed)),
+        removed_servers=tuple(f"s{n}" for n in range(removed)),
+        cold_bounds=tuple(ColdBound(f"x{n}", 6.0, 2.0) for n in range(removed)),
+        evacuated=tuple((f"zone-{n}", n) for n in range(removed)),
+        returned=tuple((f"other-{n}", n) for n in range(removed)),
     )
     parts = split_change(change)
     for part in parts:
@@ -41,8 +41,8 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(0, 3)), max_size=30))
-def test_differences_lead_where_the_whole_view_leads(steps):
-    """A follower that applies differences ends with the leader's servers."""
+def test_changes_lead_to_the_same_view_as_the_full_view(steps):
+    """A follower that applies changes ends with the leader's servers."""
     leader, follower = FleetView(), FleetView()
     for revision, (number, action) in enumerate(steps, 1):
         if action == 0:
@@ -61,7 +61,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_refused(data):
+def test_arbitrary_bytes_are_decoded_or_refused(data):
     from notchhoist.base.errors import CodecError
 
     try:
@@ -72,7 +72,7 @@
 
 
 @given(st.integers(0, 400))
-def test_a_truncated_message_is_refused(length):
+def test_truncated_message_is_refused(length):
     from notchhoist.base.errors import CodecError
 
     whole = encode_message(
@@ -90,19 +90,24 @@
         assert length >= len(data)
 
 
-def test_parts_of_two_answers_that_begin_elsewhere_are_not_mixed():
-    """Joined, they lacked what only the other halves told."""
+def test_parts_with_different_bases_are_not_mixed():
+    """Guards against joining halves of two responses.
+
+    The joined change lacked the records of the other halves.
+    """
     parts = PartAssembler()
-    early = split_change(
-        ViewChange(9, base=3, removed_servers=letters("a", 24))
+    older = split_change(
+        ViewChange(9, base=3, removed_servers=numbered("a", 24))
+    )
+    newer = split_change(
+        ViewChange(9, base=6, removed_servers=numbered("b", 24))
     )
-    late = split_change(ViewChange(9, base=6, removed_servers=letters("b", 24)))
-    assert parts.add("h", ViewTell(early[0], 0.0, (), 0, 2), 0.0) is None
-    assert parts.add("h", ViewTell(late[1], 0.0, (), 1, 2), 0.0) is None
-    whole = parts.add("h", ViewTell(late[0], 0.0, (), 0, 2), 0.0)
+    assert parts.add("h", ViewTell(older[0], 0.0, (), 0, 2), 0.0) is None
+    assert parts.add("h", ViewTell(newer[1], 0.0, (), 1, 2), 0.0) is None
+    whole = parts.add("h", ViewTell(newer[0], 0.0, (), 0, 2), 0.0)
     assert whole is not None
-    assert whole.removed_servers == letters("b", 24)
+    assert whole.removed_servers == numbered("b", 24)
 
 
-def letters(letter, count):
+def numbered(letter, count):
     return tuple(f"{letter}{number}" for number in range(count))
--- a/notchhoist/flows/published/tests/test_pieces.py
+++ b/notchhoist/flows/published/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Large views travel compressed: at which cost, and when a piece is lost."""
+"""Large views are sent compressed: cost, caching and lost pieces."""
 
 import pytest
 
@@ -14,24 +14,24 @@
 
 ROUTES = 1_600
 SERVERS = 70
-TELLER, ASKER = "10.0.0.101", "10.0.0.102"
-NARROW_BYTES_S = 5 * 125_000
+SENDER, RECEIVER = "10.0.0.101", "10.0.0.102"
+SLOW_LINK_BYTES_S = 5 * 125_000
 
 
-def teller(revision=9):
-    made = make_balancer("a", CODEC, "t", TELLER)
+def make_sender(revision=9):
+    sender = make_balancer("a", CODEC, "t", SENDER)
     routes = [crafting.route(port=1000 + n) for n in range(ROUTES)]
-    made.fleet.tables.on_table(crafting.table(3, routes), 5)
+    sender.fleet.tables.on_table(crafting.table(3, routes), 5)
     servers = [(entry(n), 1) for n in range(SERVERS)]
-    made.fleet.on_listing(servers, revision, 0.0)
-    made.sharer.on_confirmed(0.0)
-    made.take_effects()
-    return made
+    sender.fleet.on_listing(servers, revision, 0.0)
+    sender.sharer.on_confirmed(0.0)
+    sender.take_effects()
+    return sender
 
 
-def told(node, host=ASKER, ask=None):
-    ask = ask or ViewAsk(0, 5, 1, reads_pieces=True)
-    effects = node.on_peer(host, ask, 0.1)
+def query_messages(node, host=RECEIVER, query=None):
+    query = query or ViewAsk(0, 5, 1, reads_pieces=True)
+    effects = node.on_peer(host, query, 0.1)
     return [
         encode_message(item.message)
         for item in effects
@@ -39,123 +39,131 @@
     ]
 
 
-def take(node, datagrams, now=0.2):
+def deliver(node, datagrams, now=0.2):
     for data in datagrams:
-        node.on_peer(TELLER, decode_message(data), now)
+        node.on_peer(SENDER, decode_message(data), now)
 
 
-def test_a_whole_view_takes_a_narrow_link_a_twentieth_of_a_second():
-    """139 messages of 120 KB to each asker took three tellers 0.6 s."""
-    node = teller()
+def test_full_view_takes_a_slow_link_less_than_50_ms():
+    """Guards against large updates after a power loss.
+
+    Three senders took 0.6 s to send each receiver 120 KB in 139 messages.
+    """
+    node = make_sender()
     node.sharer.membership.heard = {
         f"10.100.100.{100 + n}": 0.0 for n in range(20)
     }
-    datagrams = told(node)
+    datagrams = query_messages(node)
     assert max(map(len, datagrams)) <= 1500 - 28
-    assert sum(map(len, datagrams)) < NARROW_BYTES_S * 0.05
-    asker = make_balancer("a", CODEC, "x", ASKER)
-    take(asker, reversed(datagrams))
-    assert asker.is_ready
-    assert len(asker.board.table.routes) == ROUTES
-    assert len(asker.board.servers) == SERVERS
+    assert sum(map(len, datagrams)) < SLOW_LINK_BYTES_S * 0.05
+    receiver = make_balancer("a", CODEC, "x", RECEIVER)
+    deliver(receiver, reversed(datagrams))
+    assert receiver.is_ready
+    assert len(receiver.board.table.routes) == ROUTES
+    assert len(receiver.board.servers) == SERVERS
 
 
-def test_it_is_made_once_however_many_ask(monkeypatch):
-    made, node = [], teller()
+def test_view_is_packed_once_for_many_queries(monkeypatch):
+    packed, node = [], make_sender()
     pack = pieces_module.ViewPacker.pack
 
-    def counted(self, change):
-        known = self.packed_change
+    def count_pack(self, change):
+        before_pack = self.packed_change
         result = pack(self, change)
-        made.append(self.packed_change is not known)
+        packed.append(self.packed_change is not before_pack)
         return result
 
-    monkeypatch.setattr(pieces_module.ViewPacker, "pack", counted)
+    monkeypatch.setattr(pieces_module.ViewPacker, "pack", count_pack)
     for number in range(20):
-        told(node, f"10.0.1.{number}")
-    assert made == [True] + [False] * 19
-
-
-def test_a_lost_piece_is_filled_in_by_the_next_answer():
-    node, asker = teller(), make_balancer("a", CODEC, "x", ASKER)
-    first = told(node)
-    take(asker, first[:3] + first[4:])
-    assert not asker.board.fleet_known
-    take(asker, told(node)[3:4], 0.4)
-    assert asker.is_ready
-
-
-def test_pieces_of_two_views_are_never_mixed():
-    asker = make_balancer("a", CODEC, "x", ASKER)
-    one, other = told(teller(9)), told(teller(10))
-    take(asker, one[: len(one) // 2] + other[len(other) // 2 :])
-    assert not asker.board.fleet_known
-
-
-def test_a_view_that_is_known_is_not_read_again_but_confirms():
-    node, asker = teller(), make_balancer("a", CODEC, "x", ASKER)
-    datagrams = told(node)
-    take(asker, datagrams)
-    asker.sharer.asked_at[1] = 0.3
-    take(asker, datagrams[:-1], 0.4)
-    assert not asker.sharer.pieces.incoming
-    assert asker.board.confirmed_at == pytest.approx(0.2)
-
-
-def test_a_view_of_before_a_restore_confirms_nothing():
-    asker = make_balancer("a", CODEC, "x", ASKER)
-    take(asker, told(teller(make_revision(1, 9))))
-    asker.sharer.asked_at[1] = 0.3
-    before = asker.board.confirmed_at
-    take(asker, told(teller(9)), 0.4)
-    assert asker.board.confirmed_at == before
-
-
-def test_a_view_that_is_to_mend_another_is_read_at_the_same_revision():
-    node, asker = teller(), make_balancer("a", CODEC, "x", ASKER)
-    take(asker, told(node))
-    asker.board.view.servers["ghost"] = entry(9, server_id="ghost")
-    take(asker, told(node, ask=ViewAsk(0, 5, 0, reads_pieces=True)))
-    assert "ghost" not in asker.board.view.servers
-
-
-def test_pieces_that_are_no_view_are_refused_and_forgotten():
-    asker = make_balancer("a", CODEC, "x", ASKER)
+        query_messages(node, f"10.0.1.{number}")
+    assert packed == [True] + [False] * 19
+
+
+def test_lost_piece_is_replaced_by_the_next_response():
+    node, receiver = make_sender(), make_balancer("a", CODEC, "x", RECEIVER)
+    first = query_messages(node)
+    deliver(receiver, first[:3] + first[4:])
+    assert not receiver.board.fleet_known
+    deliver(receiver, query_messages(node)[3:4], 0.4)
+    assert receiver.is_ready
+
+
+def test_pieces_of_two_views_are_not_mixed():
+    receiver = make_balancer("a", CODEC, "x", RECEIVER)
+    one, other = query_messages(make_sender(9)), query_messages(make_sender(10))
+    deliver(receiver, one[: len(one) // 2] + other[len(other) // 2 :])
+    assert not receiver.board.fleet_known
+
+
+def test_known_view_is_not_unpacked_again_but_confirms():
+    node, receiver = make_sender(), make_balancer("a", CODEC, "x", RECEIVER)
+    datagrams = query_messages(node)
+    deliver(receiver, datagrams)
+    receiver.sharer.asked_at[1] = 0.3
+    deliver(receiver, datagrams[:-1], 0.4)
+    assert not receiver.sharer.pieces.incoming
+    assert receiver.board.confirmed_at == pytest.approx(0.2)
+
+
+def test_view_of_an_earlier_era_confirms_nothing():
+    receiver = make_balancer("a", CODEC, "x", RECEIVER)
+    deliver(receiver, query_messages(make_sender(make_revision(1, 9))))
+    receiver.sharer.asked_at[1] = 0.3
+    before = receiver.board.confirmed_at
+    deliver(receiver, query_messages(make_sender(9)), 0.4)
+    assert receiver.board.confirmed_at == before
+
+
+def test_view_requested_to_reconcile_is_applied_at_the_same_revision():
+    node, receiver = make_sender(), make_balancer("a", CODEC, "x", RECEIVER)
+    deliver(receiver, query_messages(node))
+    receiver.board.view.servers["ghost"] = entry(9, server_id="ghost")
+    deliver(
+        receiver,
+        query_messages(node, query=ViewAsk(0, 5, 0, reads_pieces=True)),
+    )
+    assert "ghost" not in receiver.board.view.servers
+
+
+def test_invalid_pieces_are_refused_and_dropped():
+    receiver = make_balancer("a", CODEC, "x", RECEIVER)
     piece = ViewPiece(9, 0, 0.0, (), 0, 1, b"no view")
-    asker.on_peer(TELLER, piece, 0.2)
-    assert not asker.board.fleet_known
+    receiver.on_peer(SENDER, piece, 0.2)
+    assert not receiver.board.fleet_known
     [refused] = [
         item
-        for item in asker.board.records.decisions
+        for item in receiver.board.records.decisions
         if item.event == "view refused"
     ]
-    assert refused.inputs["teller"] == TELLER
-    take(asker, told(teller()))
-    assert asker.is_ready
+    assert refused.inputs["teller"] == SENDER
+    deliver(receiver, query_messages(make_sender()))
+    assert receiver.is_ready
 
 
 @pytest.mark.parametrize("old", ["asker", "teller"])
-def test_with_a_former_version_views_travel_in_parts(old):
+def test_views_are_sent_in_parts_to_and_by_older_versions(old):
     uses = ALL.without(["pieces"])
-    node, ask = teller(), ViewAsk(0, 5, 1, reads_pieces=old != "asker")
+    node, query = make_sender(), ViewAsk(0, 5, 1, reads_pieces=old != "asker")
     if old == "teller":
         node.board.uses = uses
-    messages = [decode_message(data) for data in told(node, ask=ask)]
+    messages = [
+        decode_message(data) for data in query_messages(node, query=query)
+    ]
     assert all(isinstance(item, ViewTell) for item in messages)
-    asker = make_balancer("a", CODEC, "x", ASKER, uses=uses)
+    receiver = make_balancer("a", CODEC, "x", RECEIVER, uses=uses)
     for message in messages:
-        asker.on_peer(TELLER, message, 0.2)
-    assert asker.is_ready
+        receiver.on_peer(SENDER, message, 0.2)
+    assert receiver.is_ready
 
 
-def test_a_small_change_stays_one_plain_message():
-    node = teller()
+def test_small_change_is_one_uncompressed_message():
+    node = make_sender()
     node.fleet.on_entry(entry(1, draining=True), 12, 0.1)
     node.board.view.reach(12)
-    [data] = told(node, ask=ViewAsk(9, 5, 1, reads_pieces=True))
+    [data] = query_messages(node, query=ViewAsk(9, 5, 1, reads_pieces=True))
     assert isinstance(decode_message(data), ViewTell)
 
 
-def test_a_packed_view_tells_of_former_routes_too():
+def test_piece_carries_the_age_of_a_reroute():
     piece = ViewPiece(5, 0, 0.1, (), 0, 1, b"x", rerouted_for_ms=900)
     assert decode_message(encode_message(piece)).rerouted_for_ms == 900
--- a/notchhoist/flows/published/tests/test_sharing.py
+++ b/notchhoist/flows/published/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Balancers among themselves: who reads, who is told, and how soon."""
+"""Synchronization of views: readers, queries, pushes and their delays."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 class Fleet:
-    """Some balancers whose messages arrive at once unless they are cut."""
+    """Balancers whose messages arrive at once unless a host is cut off."""
 
     def __init__(self, links=(100, 100, 100, 100)):
         self.nodes = {
@@ -64,7 +64,7 @@
         }
 
 
-def calm_fleet(**fields):
+def stable_fleet(**fields):
     fleet = Fleet(**fields)
     for host in HOSTS:
         fleet.publish(host, entry(1), revision=1, version=1)
@@ -75,27 +75,27 @@
 
 
 def test_two_balancers_read_and_all_agree_on_them():
-    fleet = calm_fleet()
+    fleet = stable_fleet()
     assert len(fleet.readers()) == 2
 
 
-def test_hosts_with_wide_links_read():
-    fleet = calm_fleet(links=(5, 100, 5, 100))
+def test_hosts_with_fast_links_read():
+    fleet = stable_fleet(links=(5, 100, 5, 100))
     assert fleet.readers() == {HOSTS[1], HOSTS[3]}
 
 
-def test_a_change_is_pushed_to_those_that_do_not_read():
-    fleet = calm_fleet()
+def test_change_is_pushed_to_balancers_that_do_not_read():
+    fleet = stable_fleet()
     [reader, *_] = fleet.readers()
     fleet.publish(reader, entry(2), revision=2, version=2)
-    told = set(HOSTS) - fleet.readers()
-    for host in told:
+    pushed_hosts = set(HOSTS) - fleet.readers()
+    for host in pushed_hosts:
         assert fleet.nodes[host].board.table.version == 2
         assert "s2" in fleet.nodes[host].board.servers
 
 
-def test_a_lost_push_is_made_good_by_the_next_question():
-    fleet = calm_fleet()
+def test_lost_push_is_repaired_by_the_next_query():
+    fleet = stable_fleet()
     [reader, *_] = fleet.readers()
     fleet.cut = set(HOSTS) - {reader}
     fleet.publish(reader, entry(2), revision=2, version=2)
@@ -105,30 +105,30 @@
         assert node.board.table.version == 2
 
 
-def test_whoever_is_told_nothing_reads_within_the_bound():
-    fleet = calm_fleet()
-    quiet = (set(HOSTS) - fleet.readers()).pop()
-    fleet.cut = {quiet}
+def test_cut_off_balancer_reads_within_the_deadline():
+    fleet = stable_fleet()
+    cut_off = (set(HOSTS) - fleet.readers()).pop()
+    fleet.cut = {cut_off}
     fleet.run(fleet.now + MAX_VIEW_AGE_S + 0.1)
-    assert quiet in fleet.readers()
+    assert cut_off in fleet.readers()
 
 
-def test_a_longer_bound_is_used():
-    fleet = calm_fleet()
-    quiet = (set(HOSTS) - fleet.readers()).pop()
-    fleet.nodes[quiet].sharer.fresh_s = 4.5
-    fleet.cut = {quiet}
+def test_longer_maximum_age_is_used():
+    fleet = stable_fleet()
+    cut_off = (set(HOSTS) - fleet.readers()).pop()
+    fleet.nodes[cut_off].sharer.fresh_s = 4.5
+    fleet.cut = {cut_off}
     fleet.run(fleet.now + MAX_VIEW_AGE_S + 0.1)
-    assert not fleet.nodes[quiet].sharer.must_read(fleet.now) or (
-        fleet.nodes[quiet].sharer.membership.is_reader(fleet.now)
+    assert not fleet.nodes[cut_off].sharer.must_read(fleet.now) or (
+        fleet.nodes[cut_off].sharer.membership.is_reader(fleet.now)
     )
 
 
-def test_another_balancer_reads_when_a_reader_dies():
-    fleet = calm_fleet()
-    dead = fleet.readers().pop()
-    del fleet.nodes[dead]
-    fleet.cut = {dead}
+def test_another_balancer_reads_after_a_reader_fails():
+    fleet = stable_fleet()
+    failed = fleet.readers().pop()
+    del fleet.nodes[failed]
+    fleet.cut = {failed}
     for _ in range(int(2 * ALIVE_TIMEOUT_S)):
         for host in fleet.readers():
             fleet.nodes[host].sharer.on_confirmed(fleet.now)
@@ -136,16 +136,16 @@
     assert len(fleet.readers()) == 2
 
 
-def test_a_process_that_starts_is_told_everything_by_its_seeds():
-    fleet = calm_fleet()
+def test_new_process_gets_the_full_view_from_its_seeds():
+    fleet = stable_fleet()
     newcomer = make_balancer("a", CODEC, "n", "10.0.0.104", HOSTS[:3])
     fleet.nodes["10.0.0.104"] = newcomer
     fleet.carry("10.0.0.104", newcomer.tick(fleet.now))
     assert newcomer.is_ready
 
 
-def test_an_older_record_never_replaces_a_newer_one():
-    fleet = calm_fleet()
+def test_older_entry_does_not_replace_a_newer_one():
+    fleet = stable_fleet()
     node = fleet.nodes[HOSTS[0]]
     node.fleet.on_entry(entry(1, draining=True), 9, fleet.now)
     old = ViewChange(20, base=1, servers=((entry(1), 8),))
@@ -153,8 +153,8 @@
     assert node.board.servers["s1"].entry.draining
 
 
-def test_a_change_with_a_gap_before_it_is_not_applied():
-    fleet = calm_fleet()
+def test_change_after_a_gap_is_not_applied():
+    fleet = stable_fleet()
     node = fleet.nodes[HOSTS[0]]
     change = ViewChange(20, base=10, servers=((entry(3), 15),))
     node.fleet.on_change(change, fleet.now)
@@ -162,8 +162,8 @@
     assert node.board.view.revision == 1
 
 
-def test_removals_reach_those_that_are_told():
-    fleet = calm_fleet()
+def test_removals_are_pushed():
+    fleet = stable_fleet()
     [reader, *_] = fleet.readers()
     fleet.nodes[reader].fleet.on_removed("s1", 5, fleet.now)
     fleet.publish(reader, revision=5)
@@ -171,23 +171,26 @@
         assert not node.board.servers["s1"].listed
 
 
-def test_a_teller_that_has_just_started_tells_behind_ones_everything():
-    """It knew no removals, and a dropped route was used for 14 s more."""
-    behind, teller = (make_balancer("a", CODEC, n, n) for n in HOSTS[:2])
+def test_newly_started_balancer_sends_the_full_view_to_outdated_ones():
+    """Guards against a change without removals.
+
+    The sender did not know them, and a dropped route was used for 14 s more.
+    """
+    outdated, responder = (make_balancer("a", CODEC, n, n) for n in HOSTS[:2])
     kept, dropped = crafting.route(port=443), crafting.route(port=444)
-    behind.fleet.tables.on_table(crafting.table(6, [kept, dropped]), 20)
-    behind.fleet.on_listing([(entry(1), 3), (entry(2), 4)], 20, 0.0)
-    teller.fleet.tables.on_table(crafting.table(11, [kept]), 22)
-    teller.fleet.on_listing([(entry(1), 3)], 22, 0.0)
-    change = teller.board.view.since(20)
+    outdated.fleet.tables.on_table(crafting.table(6, [kept, dropped]), 20)
+    outdated.fleet.on_listing([(entry(1), 3), (entry(2), 4)], 20, 0.0)
+    responder.fleet.tables.on_table(crafting.table(11, [kept]), 22)
+    responder.fleet.on_listing([(entry(1), 3)], 22, 0.0)
+    change = responder.board.view.since(20)
     assert change.base == 0
-    behind.fleet.on_change(change, 1.0)
-    assert list(behind.board.table.routes) == [kept.service_key]
-    assert not behind.board.servers["s2"].listed
+    outdated.fleet.on_change(change, 1.0)
+    assert list(outdated.board.table.routes) == [kept.service_key]
+    assert not outdated.board.servers["s2"].listed
 
 
-def test_a_dropped_route_that_was_never_known_is_told_on():
-    """Another process may have it from a version that was skipped here."""
+def test_removal_of_an_unknown_route_is_forwarded():
+    """Another process may have the route from a version skipped here."""
     view = FleetView()
     view.put_table(crafting.table(9), 9)
     view.note_whole(9)
@@ -197,8 +200,8 @@
     assert b"skipped" in view.since(10).removed_routes
 
 
-def test_views_that_differ_are_mended():
-    fleet = calm_fleet()
+def test_differing_views_are_reconciled():
+    fleet = stable_fleet()
     [reader, *_] = fleet.readers()
     other = (set(HOSTS) - fleet.readers()).pop()
     stale = crafting.table(1, [crafting.route(), crafting.route(port=999)])
@@ -225,8 +228,8 @@
 
 
 @given(st.lists(STEP, max_size=40))
-def test_whatever_way_views_travel_the_newest_is_the_published_one(steps):
-    """Stores that skip versions, tellers that start anew, tells at any time."""
+def test_views_converge_on_the_published_state(steps):
+    """Skipped versions, restarted senders and updates at any time."""
     routes, entries, revision, version, changed_at = {}, {}, 1, 1, 1
     zones: dict[str, int] = {}
     nodes = [make_balancer("a", CODEC, str(n), HOSTS[n]) for n in range(3)]
@@ -238,7 +241,7 @@
             list(entries.values()), revision, 0.0, evacuated=list(zones.items())
         )
 
-    def tell(source, target):
+    def send_update(source, target):
         if source is target or not source.board.fleet_known:
             return
         known = target.board.view.revision
@@ -268,10 +271,10 @@
         elif action == "restart":
             nodes[one] = make_balancer("a", CODEC, "x", HOSTS[one])
         else:
-            tell(nodes[one], nodes[other])
+            send_update(nodes[one], nodes[other])
     read(nodes[0])
     for node in nodes[1:]:
-        tell(nodes[0], node)
+        send_update(nodes[0], node)
         assert set(node.board.table.routes) == {
             item.service_key for item in routes.values()
         }
@@ -279,8 +282,8 @@
         assert set(node.board.view.evacuated) == set(zones)
 
 
-def test_an_evacuation_is_pushed_and_withdrawn_everywhere():
-    fleet = calm_fleet()
+def test_evacuation_and_its_withdrawal_are_pushed():
+    fleet = stable_fleet()
     [reader, *_] = fleet.readers()
     node = fleet.nodes[reader]
     node.fleet.zones.on_evacuated("b", 5, fleet.now)
@@ -294,8 +297,8 @@
         assert other.board.zones["b"].returned_at == fleet.now
 
 
-def test_a_balancer_that_has_just_started_hears_of_evacuated_zones():
-    fleet = calm_fleet()
+def test_newly_started_balancer_learns_of_evacuated_zones():
+    fleet = stable_fleet()
     for node in fleet.nodes.values():
         node.fleet.zones.on_evacuated("b", 5, fleet.now)
         node.board.view.reach(5)
@@ -305,37 +308,43 @@
     assert set(newcomer.board.view.evacuated) == {"b"}
 
 
-def test_a_tell_that_waited_before_a_link_is_as_old_as_it_is():
-    """Reckoned from its arrival it looked a second newer, past the bound."""
-    teller, asker = (make_balancer("a", CODEC, n, n, HOSTS) for n in HOSTS[:2])
-    teller.fleet.tables.on_table(crafting.table(), 1)
-    teller.fleet.on_listing([(entry(1), 1)], 1, 0.0)
-    teller.sharer.on_confirmed(0.0)
+def test_age_of_a_delayed_update_counts_from_the_query():
+    """Guards against an age that counts from the arrival of the update.
+
+    The view then looked a second newer than it was and was used beyond the
+    propagation deadline.
+    """
+    responder, requester = (
+        make_balancer("a", CODEC, n, n, HOSTS) for n in HOSTS[:2]
+    )
+    responder.fleet.tables.on_table(crafting.table(), 1)
+    responder.fleet.on_listing([(entry(1), 1)], 1, 0.0)
+    responder.sharer.on_confirmed(0.0)
     [ask] = [
         item.message
-        for item in asker.tick(10.0)
+        for item in requester.tick(10.0)
         if isinstance(item, SendPeer) and item.host == HOSTS[0]
     ]
-    teller.sharer.on_confirmed(10.0)
-    [tell] = [
+    responder.sharer.on_confirmed(10.0)
+    [update] = [
         item.message
-        for item in teller.on_peer(HOSTS[1], ask, 10.001)
+        for item in responder.on_peer(HOSTS[1], ask, 10.001)
         if isinstance(item.message, ViewTell)
     ]
-    asker.on_peer(HOSTS[0], tell, 11.0)
-    assert asker.board.confirmed_at <= 10.0
-    assert asker.sharer.must_read(10.0 + MAX_VIEW_AGE_S)
+    requester.on_peer(HOSTS[0], update, 11.0)
+    assert requester.board.confirmed_at <= 10.0
+    assert requester.sharer.must_read(10.0 + MAX_VIEW_AGE_S)
 
 
-def test_an_answer_to_no_question_of_ours_confirms_nothing():
-    asker = make_balancer("a", CODEC, "n", HOSTS[1], HOSTS)
-    tell = ViewTell(ViewChange(1, version=1), 0.0, (), asked=77)
-    asker.on_peer(HOSTS[0], tell, 5.0)
-    assert asker.board.confirmed_at == float("-inf")
+def test_response_to_an_unknown_query_confirms_nothing():
+    requester = make_balancer("a", CODEC, "n", HOSTS[1], HOSTS)
+    update = ViewTell(ViewChange(1, version=1), 0.0, (), asked=77)
+    requester.on_peer(HOSTS[0], update, 5.0)
+    assert requester.board.confirmed_at == float("-inf")
 
 
-def test_after_an_outage_the_first_that_knows_tells_everybody():
-    """Each waited for its own next call to the platform, up to 0.4 s."""
+def test_first_balancer_with_a_view_after_an_outage_informs_all():
+    """Guards against each waiting up to 0.4 s for its own next store call."""
     fleet = Fleet()
     fleet.run(0.3)
     last = HOSTS[3]
@@ -348,8 +357,11 @@
         assert other.board.fleet_known
 
 
-def test_whoever_asked_before_the_seeds_had_started_hears_soon_after():
-    """Its next question came 0.5 s later; it knew 0.3 s after the seeds."""
+def test_query_lost_before_the_seeds_start_is_repeated_soon():
+    """Guards against a next query 0.5 s later.
+
+    The balancer then had a view 0.3 s after the seeds.
+    """
     fleet = Fleet()
     fleet.cut = set(HOSTS[:3])
     fleet.run(0.2)
@@ -361,13 +373,13 @@
     assert fleet.nodes[HOSTS[3]].is_ready
 
 
-def test_a_fleet_that_knows_nothing_asks_its_seeds_in_bounds():
+def test_rate_of_queries_to_a_seed_is_bounded_while_nothing_is_known():
     fleet = Fleet()
-    asked = 0
+    queries = 0
     node = fleet.nodes[HOSTS[3]]
     for tick in range(200):
-        asked += sum(
+        queries += sum(
             isinstance(item, SendPeer) and item.host == HOSTS[0]
             for item in node.tick(tick / 100)
         )
-    assert asked <= 2 * 6
+    assert queries <= 2 * 6
--- a/notchhoist/flows/published/tests/test_tables.py
+++ b/notchhoist/flows/published/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Configurations that balancers tell each other, over skipped versions."""
+"""Configurations sent between balancers, over skipped versions."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,7 +18,7 @@
 
 
 def balancer(name, ports=(443, 444), version=1):
-    """A balancer that has listed everything, at the revision of a version."""
+    """A balancer with a full listing at the revision of a version."""
     node = make_balancer("a", CODEC, name, name)
     node.fleet.tables.on_table(
         crafting.table(version, routes_of(ports)), version
@@ -27,49 +27,55 @@
     return node
 
 
-def watch(node, version, ports):
-    """Lets a balancer read the next version by its watch."""
+def read_next_version(node, version, ports):
+    """Lets a balancer read the next version through its watch."""
     table = crafting.table(version, routes_of(ports))
     node.fleet.tables.on_table(table, version)
     node.board.view.reach(version)
 
 
-def tell(teller, receiver, known=None):
-    """Lets a balancer tell another one over the wire; says if it took it."""
+def send_change(sender, receiver, known=None):
+    """Sends a change encoded; returns whether the receiver accepted it."""
     if known is None:
         known = receiver.board.view.revision
-    message = ViewTell(teller.board.view.since(known), 0.0, ())
+    message = ViewTell(sender.board.view.since(known), 0.0, ())
     change = decode_message(encode_message(message)).change
     return receiver.fleet.on_change(change, 0.0, "teller")
 
 
-def test_a_route_that_came_back_is_told_by_one_that_skipped_its_absence():
-    """The receiver had the version without it and kept that for up to 5 s."""
-    reader, skipper = balancer("r"), balancer("s")
-    watch(reader, 2, [443])
-    behind = balancer("b", [443], 2)
-    watch(reader, 3, [443, 444])
-    assert tell(reader, skipper)
-    assert tell(skipper, behind)
-    assert behind.board.view.digest == reader.board.view.digest
+def test_readded_route_is_sent_by_a_balancer_that_skipped_its_removal():
+    """Guards against a receiver that keeps the version without the route.
 
+    It kept that version for up to 5 s.
+    """
+    reader, skipping_reader = balancer("r"), balancer("s")
+    read_next_version(reader, 2, [443])
+    outdated = balancer("b", [443], 2)
+    read_next_version(reader, 3, [443, 444])
+    assert send_change(reader, skipping_reader)
+    assert send_change(skipping_reader, outdated)
+    assert outdated.board.view.digest == reader.board.view.digest
 
-def test_differences_that_lead_elsewhere_are_not_put_in_force():
-    """The teller has read the third version without the second."""
-    teller = balancer("t")
-    behind = balancer("b", [443, 445], 2)
-    watch(teller, 3, [443, 444])
-    assert not tell(teller, behind)
-    assert behind.board.table.version == 2
-    assert tell(teller, behind, known=0)
-    assert behind.board.view.digest == teller.board.view.digest
 
+def test_change_that_leads_to_other_routes_is_not_put_in_force():
+    """The sender has read the third version without the second."""
+    sender = balancer("t")
+    outdated = balancer("b", [443, 445], 2)
+    read_next_version(sender, 3, [443, 444])
+    assert not send_change(sender, outdated)
+    assert outdated.board.table.version == 2
+    assert send_change(sender, outdated, known=0)
+    assert outdated.board.view.digest == sender.board.view.digest
 
-def test_where_two_views_of_one_version_differ_the_platform_decides():
-    """One asked the other for everything, and took over what was wrong."""
+
+def test_conflicting_views_of_one_version_are_settled_by_the_platform():
+    """Guards against adopting the wrong view of another balancer.
+
+    One balancer requested the full view of the other and adopted its errors.
+    """
     right, wrong = balancer("r", [443], 2), balancer("w", [445], 2)
-    assert not asks_after(right, wrong)
-    assert not asks_after(wrong, right)
+    assert not queries_after_update(right, wrong)
+    assert not queries_after_update(wrong, right)
     assert right.sharer.mender.doubtful
     assert right.sharer.must_read(0.0)
     for node in (right, wrong):
@@ -79,29 +85,29 @@
     assert right.board.view.digest == wrong.board.view.digest
 
 
-def asks_after(receiver, teller):
+def queries_after_update(receiver, sender):
     known = receiver.board.view.revision
-    message = ViewTell(teller.board.view.since(known), 0.0, ())
+    message = ViewTell(sender.board.view.since(known), 0.0, ())
     receiver.board.outbox.clear()
     receiver.sharer.on_tell("teller", message, 0.0)
     return list(receiver.board.outbox)
 
 
-def test_what_a_lost_message_told_is_asked_for_at_once():
-    reader, told = balancer("r"), balancer("t")
-    watch(reader, 2, [443])
+def test_changes_of_a_lost_update_are_queried_at_once():
+    reader, receiver_node = balancer("r"), balancer("t")
+    read_next_version(reader, 2, [443])
     between = reader.board.view.revision
-    watch(reader, 3, [443, 445])
+    read_next_version(reader, 3, [443, 445])
     message = ViewTell(reader.board.view.since(between), 0.0, ())
-    told.sharer.on_tell("10.0.0.9", message, 0.0)
-    [ask] = told.board.outbox
+    receiver_node.sharer.on_tell("10.0.0.9", message, 0.0)
+    [ask] = receiver_node.board.outbox
     assert (ask.host, ask.message.revision) == ("10.0.0.9", 1)
 
 
-def test_routes_that_went_are_forgotten_after_many():
+def test_number_of_remembered_route_removals_is_bounded():
     node = balancer("n")
     for version in range(2, 2500):
-        watch(node, version, [443, 1000 + version])
+        read_next_version(node, version, [443, 1000 + version])
     assert len(node.board.view.changed_at) < 1100
 
 
@@ -114,8 +120,8 @@
 
 
 @given(st.lists(STEP, max_size=50))
-def test_no_balancer_ever_has_other_routes_than_its_version(steps):
-    """Some watch, others are told; some start anew, some skip versions."""
+def test_routes_always_match_the_version_of_the_configuration(steps):
+    """Some read, others get changes; some restart, some skip versions."""
     published = {1: (443, 444)}
     nodes = [balancer(str(n)) for n in range(4)]
     for action, one, other, port in steps:
@@ -126,11 +132,11 @@
         elif action == "watch":
             known = nodes[one].board.view.revision
             for version in range(known + 1, newest + 1):
-                watch(nodes[one], version, published[version])
+                read_next_version(nodes[one], version, published[version])
         elif action == "restart":
             nodes[one] = balancer("x", published[newest], newest)
-        elif one != other and not tell(nodes[one], nodes[other]):
-            assert tell(nodes[one], nodes[other], known=0)
+        elif one != other and not send_change(nodes[one], nodes[other]):
+            assert send_change(nodes[one], nodes[other], known=0)
         for node in nodes:
             view = node.board.view
             routes = routes_of(published[view.table.version])
