--- a/notchhoist/flows/published/fleet_keeper.py
+++ b/notchhoist/flows/published/fleet_keeper.py
@@ -19,8 +19,8 @@
 from notchhoist.flows.published.zones import ZoneUpdater
 
 UNLISTED_RETENTION_S = 60.0
-"""How long a server whose entry vanished is still queried for its flows,
-seconds; the platform guarantees nothing for older flows."""
+"""How long an unlisted server is still queried for its flows, seconds; the
+platform guarantees nothing for older flows."""
 
 
 class FleetKeeper(Struct, eq=False):
@@ -209,7 +209,7 @@
         board.servers[former_id] = former
 
     def _resolve_host_conflicts(self, server: Server) -> bool:
-        """Replaces older servers on a host, as their processes have ended.
+        """Replaces older servers on a host, as their processes have exited.
 
         Returns:
             Whether a newer server runs there.
@@ -235,7 +235,7 @@
         self.servers_by_host[server.entry.host].remove(server)
 
     def on_removed(self, server_id: str, revision: int, now: float) -> None:
-        """Records that an entry has vanished."""
+        """Records that an entry is unlisted."""
         if server_id not in self.board.view.changed_at:
             # A server was missed whose process may still run.
             self.board.whole_since = now
@@ -311,7 +311,7 @@
         return True
 
     def sweep(self, now: float) -> None:
-        """Removes servers whose entries vanished long ago."""
+        """Removes servers that have been unlisted for long."""
         expired = [
             server
             for server in self.board.servers.values()
--- a/notchhoist/flows/published/states.py
+++ b/notchhoist/flows/published/states.py
@@ -26,14 +26,14 @@
 
 
 def bound_of(board: BalancerBoard, server: Server) -> ColdBound:
-    """Returns a server's rate limit while it is cold; 0/s for none."""
+    """Returns the cold bound of a server; 0 a second for none."""
     service = server.entry.service
     bound = board.table.cold_bound(service) if board.table else None
     return bound or ColdBound(service, 0.0, 0.0)
 
 
 def borne_per_s(board: BalancerBoard, server: Server, now: float) -> float:
-    """Returns a server's current rate limit, new flows/s; 0 for none."""
+    """Returns the cold bound that applies now, new flows/s; 0 for none."""
     bound = bound_of(board, server)
     return bound.per_s if now < cold_until(board, server) else 0.0
 
