--- a/notchhoist/flows/balancer/confirming.py
+++ b/notchhoist/flows/balancer/confirming.py
@@ -1,7 +1,7 @@
-"""A balancer's controller that has what it knows confirmed by the platform.
+"""Confirms a balancer's view by reading the platform's store at once.
 
-Word of a new backend server reaches a balancer 0.25 s later on an ordinary day.
-Where a decision cannot wait for that, the store is read at once.
+A new backend server usually becomes known to a balancer 0.25 s after it is
+published. A decision that cannot wait for that reads the store immediately.
 """
 
 from msgspec import Struct
@@ -10,59 +10,65 @@
 from notchhoist.flows.model.effects import ConfirmView
 from notchhoist.flows.model.records import Count
 
-CONFIRM_EVERY_S = 0.2
-"""Least time between two confirmations, seconds. Each is a priced call; after
-an outage of everything a balancer needs them for about two seconds."""
+CONFIRM_INTERVAL_S = 0.2
+"""Minimum time between two confirmations, seconds. Each call has a price; after
+a complete outage a balancer needs them for about two seconds."""
 
-CONFIRM_AGAIN_S = 0.2
-"""The same after one that failed: callers wait for the store's return."""
+CONFIRM_BACKOFF_S = 0.2
+"""Initial back-off after a failed confirmation, seconds. It is short since
+callers wait for the store to recover."""
 
-CONFIRM_AGAIN_MOST_S = 1.0
-"""The pause doubles with each failure in a row up to this, seconds: a store
-that fails under its load gets less from hundreds of balancers. A search that
-everybody has denied is settled after 0.7 s without it."""
+CONFIRM_BACKOFF_MAX_S = 1.0
+"""Maximum back-off, seconds. It doubles with each consecutive failure, so that
+hundreds of balancers relieve a store that fails under load. Without a
+confirmation, a flow that every agent reported absent is reset after 0.7 s."""
 
 
 class ViewConfirmer(Struct, eq=False):
-    """Reads the store on request, seldom.
+    """Requests confirmations from the store at a limited rate.
 
     Attributes:
-        board: What the balancer knows.
-        asked_at: When the confirmation under way was asked for, or None.
-        allowed_at: When the next one may be asked for, seconds.
-        known_at: Everything that was published up to this time is known.
-        pause_s: Time until the next one after a failure, seconds.
+        board: State of the balancer.
+        requested_at: When the pending confirmation was requested, seconds, or
+            None.
+        next_allowed_at: When the next one may be requested, seconds.
+        confirmed_up_to: Everything published up to this time is known, seconds.
+        backoff_s: Delay of the next one after a failure, seconds.
     """
 
     board: BalancerBoard
-    asked_at: float | None = None
-    allowed_at: float = float("-inf")
-    known_at: float = float("-inf")
-    pause_s: float = CONFIRM_AGAIN_S
+    requested_at: float | None = None
+    next_allowed_at: float = float("-inf")
+    confirmed_up_to: float = float("-inf")
+    backoff_s: float = CONFIRM_BACKOFF_S
 
-    def want(self, now: float) -> None:
-        """Asks for a confirmation unless one was asked for just now."""
-        if self.asked_at is not None or now < self.allowed_at:
+    def request_confirmation(self, now: float) -> None:
+        """Requests a confirmation unless one is pending or too recent."""
+        if self.requested_at is not None or now < self.next_allowed_at:
             return
-        self.asked_at = now
-        self.allowed_at = now + CONFIRM_EVERY_S
+        self.requested_at = now
+        self.next_allowed_at = now + CONFIRM_INTERVAL_S
         self.board.outbox.append(ConfirmView())
 
     def due(self) -> float:
-        """Returns when the next one may be asked for, seconds."""
-        return float("inf") if self.asked_at is not None else self.allowed_at
+        """Returns when the next confirmation may be requested, seconds."""
+        return (
+            float("inf")
+            if self.requested_at is not None
+            else self.next_allowed_at
+        )
 
     def on_confirmed(self) -> None:
-        """Takes account of an answer; its news have been applied."""
-        if self.asked_at is None:
+        """Handles a successful read, after its changes have been applied."""
+        if self.requested_at is None:
             return
-        self.pause_s = CONFIRM_AGAIN_S
-        self.known_at = self.asked_at
-        self.asked_at = None
+        self.backoff_s = CONFIRM_BACKOFF_S
+        self.confirmed_up_to = self.requested_at
+        self.requested_at = None
         self.board.records.counters[Count.VIEWS_CONFIRMED] += 1
 
     def on_failed(self, now: float) -> None:
-        """Takes account of a call without a usable answer."""
-        self.asked_at = None
-        self.allowed_at = now + self.pause_s
-        self.pause_s = min(2 * self.pause_s, CONFIRM_AGAIN_MOST_S)
+        """Handles a call without a usable answer."""
+        self.requested_at = None
+        self.next_allowed_at = now + self.backoff_s
+        self.backoff_s = min(2 * self.backoff_s, CONFIRM_BACKOFF_MAX_S)
--- a/notchhoist/flows/balancer/evidence.py
+++ b/notchhoist/flows/balancer/evidence.py
@@ -1,4 +1,7 @@
-"""What a balancer may conclude from what agents and the platform have told."""
+"""Decides when the absence of a flow is proven.
+
+The proof rests on the answers of agents and on what the platform publishes.
+"""
 
 from collections.abc import Iterable
 
@@ -16,23 +19,25 @@
 
 
 class Evidence(Struct, eq=False):
-    """Judges whether a flow that nobody names can still be somewhere.
+    """Decides whether an unlocated flow may still be at an unknown server.
 
     Attributes:
-        board: What the balancer knows.
-        complete: By service, whether every living server is known; kept for
-            one moment, in which hundreds of searches may ask.
-        complete_at: When that was found out, seconds.
-        settled_for: The ``whole_since`` for which the list has settled.
+        board: State of the balancer.
+        complete_by_service: Whether every running server of a service is known.
+            Cached for one value of the clock, since hundreds of searches may
+            ask at the same time.
+        checked_at: Clock value that the cache is valid for, seconds.
+        stable_list_since: The ``whole_since`` for which the server list has
+            become stable; see ``is_settled``.
     """
 
     board: BalancerBoard
-    complete: dict[str, bool] = field(default_factory=dict)
-    complete_at: float = float("-inf")
-    settled_for: float = float("-inf")
+    complete_by_service: dict[str, bool] = field(default_factory=dict)
+    checked_at: float = float("-inf")
+    stable_list_since: float = float("-inf")
 
     def hosts_of(self, services: Iterable[str]) -> set[str]:
-        """Returns the hosts whose agents may hold a flow of some services."""
+        """Returns the hosts whose agents may have flows of some services."""
         by_service = self.board.by_service
         return {
             server.entry.host
@@ -42,17 +47,17 @@
         }
 
     def is_complete(self, services: Iterable[str], now: float) -> bool:
-        """Tells whether every living server of some services is known."""
+        """Tells whether every running server of some services is known."""
         return all(self._is_complete(service, now) for service in services)
 
     def _is_complete(self, service: str, now: float) -> bool:
-        if now != self.complete_at:
-            self.complete_at = now
-            self.complete.clear()
-        known = self.complete.get(service)
+        if now != self.checked_at:
+            self.checked_at = now
+            self.complete_by_service.clear()
+        known = self.complete_by_service.get(service)
         if known is None:
             board = self.board
-            known = self.complete[service] = is_complete(
+            known = self.complete_by_service[service] = is_complete(
                 board.by_service.get(service, []),
                 self.is_settled(now),
                 board.store_failed_at,
@@ -61,21 +66,27 @@
         return known
 
     def is_settled(self, now: float) -> bool:
-        """Tells whether the list has settled since it was last read whole.
+        """Tells whether the server list is stable since its last full read.
 
-        It has to be asked regularly: a later failure does not undo it.
+        A list that was stable once remains so when the store fails later. This
+        must be called regularly, since only a call records the stable state.
         """
         board = self.board
         if is_settled(board.whole_since, board.store_failed_at, now):
-            self.settled_for = board.whole_since
+            self.stable_list_since = board.whole_since
         elif not board.uses.resting:
             return False
-        return self.settled_for == board.whole_since
+        return self.stable_list_since == board.whole_since
 
-    def meaning_of_unsure(
+    def interpret_unsure(
         self, host: str, tell: FlowsTell, now: float
     ) -> NoteKind:
-        """Returns what it means that an agent cannot tell of a flow."""
+        """Returns what an agent's answer that it is unsure of flows proves.
+
+        ``ABSENT`` if the whole service restarted and the agent has been running
+        since flows could first be placed, so that it has seen every flow of its
+        server; otherwise ``UNSURE``.
+        """
         board = self.board
         server = board.by_host.get(host)
         if not tell.age_ms or server is None or not board.uses.anew:
--- a/notchhoist/flows/balancer/finding.py
+++ b/notchhoist/flows/balancer/finding.py
@@ -1,9 +1,9 @@
-"""A balancer's controller that finds flows which it does not know.
+"""Searches for flows that a balancer does not know.
 
-The backend server knows which flows it holds and its agent sees them, so the
-balancer asks agents by a packet's head: first those beside the servers that
-the flow is placed among, then all others that may hold it. Only where every
-one of them has denied is the flow reset.
+A backend server knows its flows, and the agent on its host sees their packets.
+So the balancer queries agents by the header of a packet: first those of the
+servers that the flow may have been placed at, then all others that may have the
+flow. The flow is reset only after every one of them has reported it absent.
 """
 
 from collections.abc import Mapping
@@ -26,48 +26,53 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
-WAITING_MAX = 16
-"""Packets that wait for one search; an end has no more under way."""
+WAITING_PACKETS_MAX = 16
+"""Maximum number of packets that wait for one search; a caller has no more of
+them in flight."""
 
-MANY_SEARCHES = 2_000
-"""With more searches only the first packet of each waits: 16 of 1.2 KB each
-would take 40 MB of a host of 120 MB."""
+BUFFERED_SEARCHES_MAX = 2_000
+"""With more searches than this, only the first packet of each one waits: 16
+packets of 1.2 KB for each would take 40 MB on a host with 120 MB of memory."""
 
-LOOK_EVERY_S = 0.1
-"""Time between two looks at who is silent, seconds; then more are asked."""
+CHECK_INTERVAL_S = 0.1
+"""Time between two checks for silent agents, seconds; when some are silent, the
+remaining agents are queried too."""
 
-SEARCH_S = 4.0
-"""Time for agents to answer before a search is given up, seconds. The copies of
-a caller's packet come up to 3 s after it; an agent that is restarted is back by
-then. Waiting costs nothing, as questions are repeated less and less; a search
-that is given up sooner asks everybody again with the next copy."""
+SEARCH_TIMEOUT_S = 4.0
+"""Time after which a search is given up when agents have not answered, seconds.
+A caller's retransmissions arrive up to 3 s after a packet, and a restarted
+agent is back by then. Waiting is cheap, since queries are repeated with
+back-off; a search given up earlier would query all agents again on the next
+retransmission."""
 
-DENIED_WAIT_S = 0.7
-"""Time before a flow that nobody holds is reset, seconds, where the platform
-has not confirmed that every server is known. Another balancer may have placed
-the flow at a server that is not known here yet: word of it takes 0.25 s to be
-gathered, and 0.4 s where a link of 5 Mbit/s is full."""
+UNCONFIRMED_RESET_DELAY_S = 0.7
+"""Delay before the reset of a flow that every agent reported absent, seconds,
+without a confirmation of the platform that every server is known. Another
+balancer may have placed the flow at a server that is not known here yet: its
+entry takes up to 0.25 s because changes are batched, and 0.4 s over a saturated
+5 Mbit/s link."""
 
 SEARCHES_MAX = 20_000
-"""Searches at one time; more are left to the caller's next copy."""
+"""Maximum number of concurrent searches; further flows are searched for on the
+caller's next retransmission."""
 
 
 class FlowFinder(Struct, eq=False):
-    """Finds flows by asking.
+    """Searches for unknown flows by querying agents.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
-        resetter: Ends flows.
-        confirmer: Has the list of servers confirmed.
-        questions: Asks the agents.
-        trier: Lets unsure agents find out.
-        rejoiner: Takes up flows that were found.
-        evidence: Says what may be concluded from what was told.
-        scope: Chooses the agents that are asked.
-        look_due: When a search next needs attention, or earlier, seconds. Kept,
-            since it is asked for after each packet.
+        health: Monitors the agents.
+        resetter: Resets flows.
+        confirmer: Confirms the server list with the platform.
+        questions: Sends the queries to agents.
+        sample_sender: Sends sample packets to unsure agents.
+        resumer: Resumes flows that were found.
+        evidence: Decides when a flow is proven absent.
+        scope: Selects the agents to query.
+        next_check_at: When a search next needs a check, or earlier, seconds.
+            Cached, since it is read after each packet.
     """
 
     board: BalancerBoard
@@ -76,141 +81,144 @@
     resetter: FlowResetter
     confirmer: ViewConfirmer
     questions: Questions
-    trier: FlowTrier
-    rejoiner: FlowRejoiner
+    sample_sender: FlowTrier
+    resumer: FlowRejoiner
     evidence: Evidence
     scope: SearchScope
-    look_due: float = float("inf")
+    next_check_at: float = float("inf")
 
     def on_unknown(
         self, service: str, segment: Segment, now: float, absent_at: str = ""
     ) -> None:
-        """Looks for the flow of a packet.
+        """Starts a search for the flow of a packet, or joins the current one.
 
         Args:
-            service: The service that most likely holds it.
-            segment: The packet; it waits for the outcome.
+            service: The service that most likely holds the flow.
+            segment: The packet; it is kept until the search ends.
             now: Runtime clock, seconds.
-            absent_at: Host of an agent that has denied already.
+            absent_at: Host of an agent that has already reported the flow
+                absent.
         """
         board = self.board
         search = board.searches.get(segment.flow)
         if search is not None:
-            many = len(board.searches) > MANY_SEARCHES
-            if len(search.waiting) < (1 if many else WAITING_MAX):
+            overloaded = len(board.searches) > BUFFERED_SEARCHES_MAX
+            if len(search.waiting) < (1 if overloaded else WAITING_PACKETS_MAX):
                 search.waiting.append(segment)
             return
         if segment.resets or len(board.searches) >= SEARCHES_MAX:
             return
-        services = self.scope.services(service, segment)
+        services = self.scope.candidate_services(service, segment)
         known = board.by_service.get(services[0], [])
-        few = placing.candidates(segment.flow, known, board.zone)
+        likely = placing.candidates(segment.flow, known, board.zone)
         if board.view.evacuated:
             others = placing.open_to_new(known, board.view.evacuated)
-            few += placing.candidates(segment.flow, others, board.zone)
-        hosts = {item.entry.host for item in few if not item.lost}
+            likely += placing.candidates(segment.flow, others, board.zone)
+        hosts = {item.entry.host for item in likely if not item.lost}
         hosts.discard(absent_at)
         denied = self.scope.tags_of([absent_at])
         search = Search(services, [segment], set(), [], since=now, asked=denied)
         board.searches[segment.flow] = search
         board.records.counters[Count.FINDS] += 1
-        self._ask(search, self.scope.tags_of(hosts), now)
-        self._note_due(search)
+        self._query(search, self.scope.tags_of(hosts), now)
+        self._schedule_check(search)
         if not hosts:
-            self._next(segment.flow, search, now)
+            self._advance(segment.flow, search, now)
 
-    def _ask(
-        self, search: Search, fresh: Mapping[str, int], now: float
+    def _query(
+        self, search: Search, tags: Mapping[str, int], now: float
     ) -> bool:
-        """Asks agents, each under its tag; tells whether there are any."""
-        if not fresh:
+        """Queries agents under their tags; returns whether there are any."""
+        if not tags:
             return False
         search.denied_at = None
         search.sent_at = now
         search.rounds += 1
-        search.unanswered.update(fresh)
+        search.unanswered.update(tags)
         flow = search.waiting[0].flow
-        for host in fresh.keys() & search.asked.keys():
+        for host in tags.keys() & search.asked.keys():
             self.questions.forget(flow, {host}, search.asked[host])
-        search.asked.update(fresh)
+        search.asked.update(tags)
         for host in sorted(search.unanswered):
             tag = search.asked[host]
-            self.questions.ask([host], tag, search.waiting[0], now)
+            self.questions.query([host], tag, search.waiting[0], now)
             server = self.board.by_host.get(host)
             if server is not None:
                 self.health.expect(server, now)
         return True
 
-    def _ask_rest(self, search: Search, now: float) -> bool:
-        """Asks all others that may hold the flow; tells whether any are."""
-        fresh = self.scope.unasked(search) or self.scope.widen(search, now)
-        return self._ask(search, fresh, now)
+    def _query_remaining(self, search: Search, now: float) -> bool:
+        """Queries all other possible agents; returns whether there are any."""
+        fresh = self.scope.unqueried_agents(search) or self.scope.widen(
+            search, now
+        )
+        return self._query(search, fresh, now)
 
     def on_answer(
         self, host: str, kind: NoteKind, segment: Segment, now: float
     ) -> None:
-        """Takes an agent's word on the flow of one packet."""
+        """Handles an agent's answer about the flow of one packet."""
         if segment.flow in self.board.searches:
-            self._take_answer(host, kind, segment.flow, now)
+            self._handle_answer(host, kind, segment.flow, now)
         elif kind is NoteKind.PRESENT:
-            self.rejoiner.learn(host, segment, now)
+            self.resumer.record_late_answer(host, segment, now)
 
     def on_tell(self, host: str, tell: FlowsTell, now: float) -> None:
-        """Takes an agent's answer about several flows."""
+        """Handles an agent's answer about several flows."""
         load = Load(tell.flows, tell.running, tell.pace_ms)
         self.health.on_heard(host, load, now)
         asked = self.questions.on_answer(host, tell.number, now)
         for flow in tell.present:
-            self._take_answer(host, NoteKind.PRESENT, flow, now)
+            self._handle_answer(host, NoteKind.PRESENT, flow, now)
         for flow in tell.absent:
             search = self.board.searches.get(flow)
             tried = search is not None and host in search.trying
             if flow in asked or (tried and not tell.number):
-                self._take_answer(host, NoteKind.ABSENT, flow, now)
-        unsure = self.evidence.meaning_of_unsure(host, tell, now)
+                self._handle_answer(host, NoteKind.ABSENT, flow, now)
+        unsure = self.evidence.interpret_unsure(host, tell, now)
         for flow in tell.unsure:
             if flow in asked:
-                self._take_answer(host, unsure, flow, now)
+                self._handle_answer(host, unsure, flow, now)
 
-    def _take_answer(
+    def _handle_answer(
         self, host: str, kind: NoteKind, flow: bytes, now: float
     ) -> None:
         search = self.board.searches.get(flow)
         if search is None:
             return
         if kind is NoteKind.PRESENT:
-            self._found(flow, search, host, now)
+            self._on_found(flow, search, host, now)
         elif host in search.trying:
-            self._on_tried(flow, search, host, now)
+            self._on_sample_returned(flow, search, host, now)
         elif host in search.unanswered:
             search.unanswered.discard(host)
             if kind is NoteKind.UNSURE:
                 search.unsure.append(host)
             if not search.unanswered:
-                self._next(flow, search, now)
+                self._advance(flow, search, now)
 
-    def _on_tried(
+    def _on_sample_returned(
         self, flow: bytes, search: Search, host: str, now: float
     ) -> None:
-        """Takes word that a flow is not at a server that was tried."""
+        """Handles an agent's report that its server returned the sample."""
         search.trying.discard(host)
         if not search.trying:
-            self._next(flow, search, now)
+            self._advance(flow, search, now)
 
     def _end(self, flow: bytes, search: Search) -> None:
-        """Ends a search, whatever came of it."""
+        """Removes a search and its queries, whatever its outcome."""
         del self.board.searches[flow]
         self.scope.on_ended(search)
         for host, tag in search.asked.items():
             self.questions.forget(flow, {host}, tag)
 
     def on_returned(self, host: str, segment: Segment, now: float) -> None:
-        """Takes a packet back whose flow is not at an agent's server."""
+        """Handles a packet returned because its flow is not at the server."""
         flow = segment.flow
         search = self.board.searches.get(flow)
         if search is not None:
             if host in search.trying:
-                self._on_tried(flow, search, host, now)
+                self._on_sample_returned(flow, search, host, now)
             return
         placement = self.board.flows.get(flow)
         if placement is None or placement.server.entry.host != host:
@@ -219,131 +227,146 @@
         service = placement.server.entry.service
         self.on_unknown(service, segment, now, absent_at=host)
 
-    def _found(
+    def _on_found(
         self, flow: bytes, search: Search, host: str, now: float
     ) -> None:
         server = self.board.by_host.get(host)
         self._end(flow, search)
         if server is None:
             return
-        search_records.observe(self.board, search, "found", now)
-        self.rejoiner.rejoin(flow, search, server, now)
+        search_records.record_duration(self.board, search, "found", now)
+        self.resumer.resume(flow, search, server, now)
 
-    def _next(self, flow: bytes, search: Search, now: float) -> None:
-        """Asks more agents, tries unsure ones, or ends the search."""
+    def _advance(self, flow: bytes, search: Search, now: float) -> None:
+        """Queries more agents, samples unsure ones, or ends the search."""
         more = (
-            self._ask(search, self.scope.unasked(search), now)
-            or self.trier.try_unsure(search, now)
-            or self._ask(search, self.scope.widen(search, now), now)
+            self._query(search, self.scope.unqueried_agents(search), now)
+            or self.sample_sender.send_to_unsure(search, now)
+            or self._query(search, self.scope.widen(search, now), now)
         )
         if more:
-            self._note_due(search)
+            self._schedule_check(search)
             return
         if search.silent or search.partial:
-            # Whoever was tried or not asked may hold the flow: leave it alone.
+            # Silent sampled agents and agents not queried may have the flow,
+            # so it must not be reset.
             reason = "tried agents" if search.silent else "agents not asked"
             self._give_up(flow, search, reason, now)
             return
         search.denied_at = now
-        self._settle_if_known(flow, search, now)
-        self._note_due(search)
+        self._conclude_if_confirmed(flow, search, now)
+        self._schedule_check(search)
 
-    def _settle_if_known(self, flow: bytes, search: Search, now: float) -> None:
-        """Ends a search that every agent has denied, once it may."""
+    def _conclude_if_confirmed(
+        self, flow: bytes, search: Search, now: float
+    ) -> None:
+        """Ends a search once the flow's absence is proven and confirmed."""
         if not self.board.uses.confirming or search.denied_at is None:
             return
         if not self.evidence.is_complete(search.services, now):
             return
-        if self.confirmer.known_at >= search.since:
-            self._settle(flow, search, now)
+        if self.confirmer.confirmed_up_to >= search.since:
+            self._conclude_absent(flow, search, now)
         else:
-            self.confirmer.want(now)
+            self.confirmer.request_confirmation(now)
 
     def on_view_confirmed(self, now: float) -> None:
-        """Takes account of a confirmation by the platform."""
+        """Handles a confirmation of the server list by the platform."""
         self.confirmer.on_confirmed()
         for flow, search in list(self.board.searches.items()):
-            self._settle_if_known(flow, search, now)
-        self._look_again()
+            self._conclude_if_confirmed(flow, search, now)
+        self._update_next_check()
 
     def _give_up(
         self, flow: bytes, search: Search, reason: str, now: float
     ) -> None:
-        """Ends a search without a reset; the caller's next copy starts anew."""
+        """Ends a search without a reset.
+
+        The caller's next retransmission starts a new search.
+        """
         self._end(flow, search)
-        search_records.note_given_up(self.board, flow, search, reason, now)
+        search_records.record_given_up(self.board, flow, search, reason, now)
 
-    def _settle(self, flow: bytes, search: Search, now: float) -> None:
-        """Asks servers that have become known meanwhile, or resets."""
-        if self._ask_rest(search, now):
+    def _conclude_absent(self, flow: bytes, search: Search, now: float) -> None:
+        """Queries agents that became known meanwhile, or resets the flow."""
+        if self._query_remaining(search, now):
             return
         if search.partial:
             self._give_up(flow, search, "agents not asked", now)
             return
         self._end(flow, search)
         self.board.records.counters[Count.FOUND_NOWHERE] += 1
-        search_records.observe(self.board, search, "found nowhere", now)
-        known_at = self.confirmer.known_at
+        search_records.record_duration(self.board, search, "found nowhere", now)
+        confirmed_up_to = self.confirmer.confirmed_up_to
         self.resetter.reset(
             search.waiting[-1],
             "found nowhere",
-            **search_records.nowhere_inputs(search, known_at, now),
+            **search_records.absence_inputs(search, confirmed_up_to, now),
             revision=self.board.view.revision,
         )
 
     def tick(self, now: float) -> None:
-        """Decides where an agent keeps silent."""
+        """Repeats queries and handles searches whose agents are silent."""
         self.questions.tick(now)
         for flow, search in list(self.board.searches.items()):
             if search.denied_at is not None:
-                if now - search.denied_at >= DENIED_WAIT_S:
-                    self._settle(flow, search, now)
+                if now - search.denied_at >= UNCONFIRMED_RESET_DELAY_S:
+                    self._conclude_absent(flow, search, now)
                 else:
-                    self._settle_if_known(flow, search, now)
+                    self._conclude_if_confirmed(flow, search, now)
             elif search.trying:
                 if now - search.sent_at >= search.try_s:
                     search.silent |= search.trying
                     search.trying.clear()
-                    self._next(flow, search, now)
-            elif now - search.sent_at >= LOOK_EVERY_S:
-                self._look(flow, search, now)
-        self._look_again()
+                    self._advance(flow, search, now)
+            elif now - search.sent_at >= CHECK_INTERVAL_S:
+                self._check_unanswered(flow, search, now)
+        self._update_next_check()
 
-    def _look(self, flow: bytes, search: Search, now: float) -> None:
-        """Looks at the agents that have not answered yet."""
+    def _check_unanswered(
+        self, flow: bytes, search: Search, now: float
+    ) -> None:
+        """Checks the agents that have not answered yet."""
         search.sent_at = now
         for host in list(search.unanswered):
             server = self.board.by_host.get(host)
             if server is None or server.lost:
                 search.unanswered.discard(host)
         if not search.unanswered:
-            self._next(flow, search, now)
-        elif now - search.since >= SEARCH_S:
-            # An agent that restarts may hold the flow: leave it alone.
+            self._advance(flow, search, now)
+        elif now - search.since >= SEARCH_TIMEOUT_S:
+            # A restarting agent may have the flow, so it must not be reset.
             self._give_up(flow, search, "silent agents", now)
         else:
-            self._ask_rest(search, now)
+            self._query_remaining(search, now)
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
-        return min(self.look_due, self.questions.due())
-
-    def _look_again(self) -> None:
-        """Works out which search needs attention next."""
-        next_call = self.confirmer.due()
-        self.look_due = min(
-            (_due(item, next_call) for item in self.board.searches.values()),
+        return min(self.next_check_at, self.questions.due())
+
+    def _update_next_check(self) -> None:
+        """Computes when a search next needs a check."""
+        next_confirmation = self.confirmer.due()
+        self.next_check_at = min(
+            (
+                _check_time(item, next_confirmation)
+                for item in self.board.searches.values()
+            ),
             default=float("inf"),
         )
 
-    def _note_due(self, search: Search) -> None:
-        """Takes account of a search that may need attention before others."""
-        due = _due(search, self.confirmer.due())
-        self.look_due = min(self.look_due, due)
+    def _schedule_check(self, search: Search) -> None:
+        """Moves the next check forward if a search needs one earlier."""
+        due = _check_time(search, self.confirmer.due())
+        self.next_check_at = min(self.next_check_at, due)
 
 
-def _due(search: Search, next_call: float) -> float:
-    """Returns when a search next needs attention, seconds."""
+def _check_time(search: Search, next_confirmation: float) -> float:
+    """Returns when a search next needs a check, seconds."""
     if search.denied_at is not None:
-        return min(search.denied_at + DENIED_WAIT_S, next_call)
-    return search.sent_at + (search.try_s if search.trying else LOOK_EVERY_S)
+        return min(
+            search.denied_at + UNCONFIRMED_RESET_DELAY_S, next_confirmation
+        )
+    return search.sent_at + (
+        search.try_s if search.trying else CHECK_INTERVAL_S
+    )
--- a/notchhoist/flows/balancer/questions.py
+++ b/notchhoist/flows/balancer/questions.py
@@ -1,11 +1,11 @@
-"""What a balancer asks agents about flows, one question at a time each.
-
-The load it answers: after a loss of power each caller's flow is unknown, and
-asking every agent of a service about each of them by itself would take thin
-hosts longer than callers wait for their next copy. Here the flows that an agent
-is to be asked about wait while a question to it is under way, and then go in
-one. The work is bounded by the round trips that the hosts can make, whatever is
-searched for: it shrinks when they are slow.
+"""Queries to agents about flows, batched with one query in flight per agent.
+
+After a power failure the flows of all callers are unknown. Querying every agent
+of a service about each flow separately would take hosts with little CPU longer
+than the callers' retransmission interval. Therefore the flows to query an agent
+about are collected while a query to it is in flight, and then sent together.
+The number of queries is limited by the round trips of the hosts, regardless of
+the number of searches, and falls when the hosts are slow.
 """
 
 from collections.abc import Iterable
@@ -19,76 +19,77 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
-REPEAT_S = 0.1
-"""Time until a question without an answer is repeated, seconds; 30 round
-trips. It doubles with each repeat."""
+RETRY_DELAY_S = 0.1
+"""Delay before an unanswered query is first sent again, seconds; 30 round
+trips. It doubles with each retry."""
 
-REPEAT_MOST_S = 0.8
-"""The longest such time, seconds: a restarting agent is heard soon enough."""
+RETRY_DELAY_MAX_S = 0.8
+"""Maximum delay before a retry, seconds; short enough to reach a restarted
+agent in time."""
 
-BYTES_A_QUESTION = 1_200
-"""Bytes of heads and samples in one question, so that it fits a datagram; a
-single larger sample goes alone."""
+QUERY_BYTES_MAX = 1_200
+"""Maximum size of the packet headers and samples in a query, bytes, so that it
+fits into a datagram. A single larger sample is sent alone."""
 
-HEAD_COST = 34
-"""Bytes that a head takes in a question."""
+HEADER_BYTES = 34
+"""Size of a packet header in a query, bytes."""
 
 
-class Line(Struct, eq=False):
-    """What one agent is asked.
+class QueryQueue(Struct, eq=False):
+    """What is to be queried of one agent, and its query in flight.
 
     Attributes:
-        heads: Heads to ask about, by flow.
-        samples: Packets to be tried, by flow.
-        number: Number of the question under way; 0 for none.
-        sent_at: When it was sent, seconds.
-        repeat_s: When it is repeated, seconds after that.
-        asked: Flows whose heads are in the question under way.
-        tried: Flows whose samples are.
-        sent: How often the question under way was sent.
+        headers: Packet headers of the flows to query about, by flow.
+        samples: Sample packets to hand to the agent's server, by flow.
+        number: Number of the query in flight; 0 for none.
+        sent_at: When it was last sent, seconds.
+        retry_delay_s: Delay after that until it is sent again, seconds.
+        queried: Flows whose headers are in the query in flight.
+        sampled: Flows whose samples are in the query in flight.
+        send_count: How often the query in flight was sent.
     """
 
-    heads: dict[bytes, bytes] = field(default_factory=dict)
+    headers: dict[bytes, bytes] = field(default_factory=dict)
     samples: dict[bytes, bytes] = field(default_factory=dict)
     number: int = 0
     sent_at: float = 0.0
-    repeat_s: float = REPEAT_S
-    asked: list[bytes] = field(default_factory=list)
-    tried: list[bytes] = field(default_factory=list)
-    sent: int = 0
+    retry_delay_s: float = RETRY_DELAY_S
+    queried: list[bytes] = field(default_factory=list)
+    sampled: list[bytes] = field(default_factory=list)
+    send_count: int = 0
 
 
 class Questions(Struct, eq=False):
-    """Asks agents about flows.
+    """Queries agents about flows.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        distances: Is told what answers take.
-        lines: What is asked, by host and tag of the service.
-        by_number: The lines whose questions are under way.
-        count: Number of the last question; see ``first_number``.
+        distances: Receives the measured round-trip times.
+        lines: Query queues, by host and service tag.
+        by_number: Keys of the queues with a query in flight, by its number.
+        last_number: Number of the last query; see ``first_number``.
     """
 
     board: BalancerBoard
     codec: SegmentCodec
     distances: Distances
-    lines: dict[tuple[str, int], Line] = field(default_factory=dict)
+    lines: dict[tuple[str, int], QueryQueue] = field(default_factory=dict)
     by_number: dict[int, tuple[str, int]] = field(default_factory=dict)
-    count: int = 0
+    last_number: int = 0
 
-    def ask(
+    def query(
         self, hosts: Iterable[str], tag: int, segment: Segment, now: float
     ) -> None:
-        """Asks agents whether they have the flow of a packet."""
-        head = self.codec.head_with_note(segment, 0)
+        """Queries agents whether their servers hold the flow of a packet."""
+        header = self.codec.head_with_note(segment, 0)
         for host in hosts:
-            line = self._line(host, tag)
-            line.heads[segment.flow] = head
-            if not line.number:
-                self._send(host, tag, line, now)
+            queue = self._queue_of(host, tag)
+            queue.headers[segment.flow] = header
+            if not queue.number:
+                self._send_next(host, tag, queue, now)
 
-    def try_packet(
+    def send_sample(
         self,
         hosts: Iterable[str],
         tag: int,
@@ -96,150 +97,167 @@
         datagram: bytes,
         now: float,
     ) -> None:
-        """Lets agents find out by handing a packet to their servers."""
+        """Has agents hand a sample packet to their servers."""
         for host in hosts:
-            line = self._line(host, tag)
-            line.samples[flow] = datagram
-            if not line.number:
-                self._send(host, tag, line, now)
+            queue = self._queue_of(host, tag)
+            queue.samples[flow] = datagram
+            if not queue.number:
+                self._send_next(host, tag, queue, now)
 
-    def _line(self, host: str, tag: int) -> Line:
-        line = self.lines.get((host, tag))
-        if line is None:
-            line = self.lines[host, tag] = Line()
-        return line
+    def _queue_of(self, host: str, tag: int) -> QueryQueue:
+        queue = self.lines.get((host, tag))
+        if queue is None:
+            queue = self.lines[host, tag] = QueryQueue()
+        return queue
 
     def on_answer(self, host: str, number: int, now: float) -> set[bytes]:
-        """Takes account of an answer; what has gathered meanwhile is asked.
+        """Handles an answer and sends the next query if anything is queued.
 
         Returns:
-            The flows that it was still asked about; an older answer may be of
-            a time before the flow was opened.
+            The flows that the answer is valid for: those of the query in flight
+            that are still searched for. The answer to an older query may
+            predate the opening of a flow.
         """
         key = self.by_number.get(number)
-        line = self.lines.get(key) if key else None
-        if key is None or line is None or key[0] != host:
+        queue = self.lines.get(key) if key else None
+        if key is None or queue is None or key[0] != host:
             return set()
-        asked = set(line.asked)
-        self._measure(host, line, now)
-        for flow in line.asked:
-            line.heads.pop(flow, None)
-        for flow in line.tried:
-            line.samples.pop(flow, None)
-        self._free(line)
-        line.repeat_s = REPEAT_S
-        if line.heads or line.samples:
-            self._send(*key, line, now)
+        asked = set(queue.queried)
+        self._measure_round_trip(host, queue, now)
+        for flow in queue.queried:
+            queue.headers.pop(flow, None)
+        for flow in queue.sampled:
+            queue.samples.pop(flow, None)
+        self._clear_in_flight(queue)
+        queue.retry_delay_s = RETRY_DELAY_S
+        if queue.headers or queue.samples:
+            self._send_next(*key, queue, now)
         return asked
 
-    def _measure(self, host: str, line: Line, now: float) -> None:
-        """Takes the time of a question that was sent once."""
+    def _measure_round_trip(
+        self, host: str, queue: QueryQueue, now: float
+    ) -> None:
+        """Measures the round-trip time of a query that was sent once."""
         server = self.board.by_host.get(host)
-        if server is not None and line.sent == 1:
-            self.distances.note(server, line.sent_at, now)
+        if server is not None and queue.send_count == 1:
+            self.distances.note(server, queue.sent_at, now)
 
-    def _free(self, line: Line) -> None:
-        self.by_number.pop(line.number, None)
-        line.number = 0
+    def _clear_in_flight(self, queue: QueryQueue) -> None:
+        self.by_number.pop(queue.number, None)
+        queue.number = 0
 
     def on_heard(self, host: str, tag: int, now: float) -> None:
-        """Repeats a question at once to an agent that has kept silent.
+        """Makes a retry due at once when a silent agent is heard again.
 
-        One that has just started missed it, and the pause before the next
-        repeat may have grown to 0.8 s.
+        An agent that has just started missed the query, and the delay before
+        the next retry may have grown to 0.8 s.
         """
-        line = self.lines.get((host, tag))
-        if line is None or not line.number or line.repeat_s <= REPEAT_S:
+        queue = self.lines.get((host, tag))
+        if (
+            queue is None
+            or not queue.number
+            or queue.retry_delay_s <= RETRY_DELAY_S
+        ):
             return
-        line.repeat_s = REPEAT_S
-        line.sent_at = now - REPEAT_S
+        queue.retry_delay_s = RETRY_DELAY_S
+        queue.sent_at = now - RETRY_DELAY_S
 
     def forget(self, flow: bytes, hosts: set[str], tag: int) -> None:
-        """Asks no longer about a flow."""
+        """Removes a flow from the queries to some agents."""
         for host in hosts:
-            line = self.lines.get((host, tag))
-            if line is None:
+            queue = self.lines.get((host, tag))
+            if queue is None:
                 continue
-            line.heads.pop(flow, None)
-            line.samples.pop(flow, None)
-            for under_way in (line.asked, line.tried):
-                if flow in under_way:
-                    under_way.remove(flow)
+            queue.headers.pop(flow, None)
+            queue.samples.pop(flow, None)
+            for in_flight in (queue.queried, queue.sampled):
+                if flow in in_flight:
+                    in_flight.remove(flow)
 
     def tick(self, now: float) -> None:
-        """Repeats questions; forgets agents that are not asked."""
-        for key, line in list(self.lines.items()):
-            if not line.heads and not line.samples:
-                self._free(line)
+        """Sends unanswered queries again and drops empty queues."""
+        for key, queue in list(self.lines.items()):
+            if not queue.headers and not queue.samples:
+                self._clear_in_flight(queue)
                 del self.lines[key]
-            elif line.number and now - line.sent_at >= line.repeat_s:
-                line.repeat_s = min(2 * line.repeat_s, REPEAT_MOST_S)
+            elif queue.number and now - queue.sent_at >= queue.retry_delay_s:
+                queue.retry_delay_s = min(
+                    2 * queue.retry_delay_s, RETRY_DELAY_MAX_S
+                )
                 self.board.records.counters[Count.QUESTIONS_REPEATED] += 1
-                self._repeat(*key, line, now)
+                self._resend(*key, queue, now)
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
         return min(
-            (line.sent_at + line.repeat_s for line in self.lines.values()),
+            (
+                queue.sent_at + queue.retry_delay_s
+                for queue in self.lines.values()
+            ),
             default=float("inf"),
         )
 
-    def _send(self, host: str, tag: int, line: Line, now: float) -> None:
-        """Asks what has gathered, as much as fits one question."""
-        line.asked, line.tried = [], []
-        room = BYTES_A_QUESTION
-        for flow in line.heads:
-            if room < HEAD_COST:
+    def _send_next(
+        self, host: str, tag: int, queue: QueryQueue, now: float
+    ) -> None:
+        """Sends queued headers and samples, as many as fit into one query."""
+        queue.queried, queue.sampled = [], []
+        bytes_left = QUERY_BYTES_MAX
+        for flow in queue.headers:
+            if bytes_left < HEADER_BYTES:
                 break
-            room -= HEAD_COST
-            line.asked.append(flow)
-        for flow, sample in line.samples.items():
-            if room < len(sample) and (line.asked or line.tried):
+            bytes_left -= HEADER_BYTES
+            queue.queried.append(flow)
+        for flow, sample in queue.samples.items():
+            if bytes_left < len(sample) and (queue.queried or queue.sampled):
                 break
-            room -= len(sample)
-            line.tried.append(flow)
-        self.count += 1
-        line.number = self.count
-        line.sent = 0
-        self.by_number[line.number] = (host, tag)
-        self._emit(host, tag, line, now)
-
-    def _repeat(self, host: str, tag: int, line: Line, now: float) -> None:
-        """Sends the question under way once more, under its number.
-
-        An answer to the first one then counts, however late it comes.
+            bytes_left -= len(sample)
+            queue.sampled.append(flow)
+        self.last_number += 1
+        queue.number = self.last_number
+        queue.send_count = 0
+        self.by_number[queue.number] = (host, tag)
+        self._emit(host, tag, queue, now)
+
+    def _resend(
+        self, host: str, tag: int, queue: QueryQueue, now: float
+    ) -> None:
+        """Sends the query in flight again under the same number.
+
+        An answer to an earlier transmission is then valid, however late it
+        arrives.
         """
-        if line.asked or line.tried:
-            self._emit(host, tag, line, now)
+        if queue.queried or queue.sampled:
+            self._emit(host, tag, queue, now)
         else:
-            self._free(line)
-            self._send(host, tag, line, now)
-
-    def _emit(self, host: str, tag: int, line: Line, now: float) -> None:
-        line.sent_at = now
-        line.sent += 1
-        question = FlowsAsk(
-            number=line.number,
+            self._clear_in_flight(queue)
+            self._send_next(host, tag, queue, now)
+
+    def _emit(self, host: str, tag: int, queue: QueryQueue, now: float) -> None:
+        queue.sent_at = now
+        queue.send_count += 1
+        message = FlowsAsk(
+            number=queue.number,
             tag=tag,
-            heads=tuple(line.heads[flow] for flow in line.asked),
-            samples=tuple(line.samples[flow] for flow in line.tried),
+            heads=tuple(queue.headers[flow] for flow in queue.queried),
+            samples=tuple(queue.samples[flow] for flow in queue.sampled),
         )
         self.board.records.counters[Count.QUESTIONS] += 1
-        self.board.outbox.append(SendPeer(host, question))
+        self.board.outbox.append(SendPeer(host, message))
 
 
 def make_questions(
     board: BalancerBoard,
     codec: SegmentCodec,
     distances: Distances,
-    count: int = 0,
+    last_number: int = 0,
 ) -> Questions:
-    """Makes a balancer's questions; nothing is asked yet.
+    """Creates the queries of a balancer, with empty queues.
 
     Args:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        distances: Is told what answers take.
-        count: Where their numbers begin.
+        distances: Receives the measured round-trip times.
+        last_number: The first query has the number after this one.
     """
-    return Questions(board, codec, distances, count=count)
+    return Questions(board, codec, distances, last_number=last_number)
--- a/notchhoist/flows/balancer/rejoining.py
+++ b/notchhoist/flows/balancer/rejoining.py
@@ -1,4 +1,4 @@
-"""A balancer's controller that takes up flows which were found."""
+"""Resumes the forwarding of flows after a search has found them."""
 
 from msgspec import Struct
 
@@ -18,22 +18,22 @@
 
 
 class FlowRejoiner(Struct, eq=False):
-    """Remembers where a flow was found and sends on what waited for that.
+    """Records where a flow was found and forwards its waiting packets.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
+        health: Monitors the agents.
     """
 
     board: BalancerBoard
     codec: SegmentCodec
     health: HealthKeeper
 
-    def rejoin(
+    def resume(
         self, flow: bytes, search: Search, server: Server, now: float
     ) -> None:
-        """Takes up a flow whose search has ended at a server."""
+        """Resumes a flow that a search has found at a server."""
         counters = self.board.records.counters
         counters[Count.FOUND] += 1
         if server.entry.service != search.services[0]:
@@ -59,8 +59,10 @@
             )
         self.health.expect(server, now)
 
-    def learn(self, host: str, segment: Segment, now: float) -> None:
-        """Takes word of a flow after its search has ended."""
+    def record_late_answer(
+        self, host: str, segment: Segment, now: float
+    ) -> None:
+        """Records the server of a flow reported after its search ended."""
         server = self.board.by_host.get(host)
         if server is not None and segment.flow not in self.board.flows:
             placement = Placement(server, True, now, segment)
--- a/notchhoist/flows/balancer/resetting.py
+++ b/notchhoist/flows/balancer/resetting.py
@@ -1,4 +1,4 @@
-"""A balancer's resets."""
+"""Resets of flows towards their callers."""
 
 from msgspec import Struct
 
@@ -9,10 +9,10 @@
 
 
 class FlowResetter(Struct, eq=False):
-    """Ends flows towards their callers.
+    """Sends resets to the callers of flows that cannot go on.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
     """
 
@@ -28,9 +28,9 @@
         """Resets the flow of a caller's packet.
 
         Args:
-            segment: The packet; the reset lies in its window.
-            reason: Why, for the log.
-            inputs: What decided it, for the log.
+            segment: The packet; the reset is valid in its window.
+            reason: Reason, for the log.
+            inputs: Facts behind the decision, for the log.
         """
         board = self.board
         board.records.counters[Count.RESETS] += 1
--- a/notchhoist/flows/balancer/resting.py
+++ b/notchhoist/flows/balancer/resting.py
@@ -1,10 +1,10 @@
-"""A balancer's controller for flows that rest when their server ends.
+"""Detects idle flows whose backend server has exited.
 
-A caller keeps a flow open between its requests, and its balancer hears nothing
-of it meanwhile. Where the server may have ended, the caller's newest packet is
-sent once more: the agent beside the server, or the server itself, gives it back
-where the flow is no more, and what follows is what a packet of the caller would
-bring about, but before the caller's next request.
+A caller keeps a flow open between its requests, and the balancer receives no
+packets of it meanwhile. When the server may have exited, the balancer sends the
+caller's last packet again. If the flow no longer exists, the agent on the
+server's host or the server itself returns the packet. The balancer then acts as
+for a new packet of the caller, but before the caller's next request.
 """
 
 from msgspec import Struct, field
@@ -20,139 +20,146 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import SegmentCodec
 
-LOOK_EVERY_S = 0.5
-"""Time between two looks at the servers where flows rest, seconds."""
+CHECK_INTERVAL_S = 0.5
+"""Time between two checks of the servers with idle flows, seconds."""
 
-UNHEARD_S = 1.0
-"""An agent with resting flows is asked for a sign of life after this silence,
-seconds."""
+PROBE_AFTER_S = 1.0
+"""Silence after which an agent with idle flows is probed, seconds."""
 
-PROBES_PER_S = 50
-"""Such questions in a second at the most; half of what control may take."""
+PROBES_PER_S_MAX = 50
+"""Maximum number of these probes in a second; they use half of the bandwidth
+budget of control messages."""
 
-WITNESSES = 2
-"""Agents elsewhere that are asked for each silent one: a host that hears fewer
-others than are silent takes the silence for its own."""
+REFERENCE_PROBES_PER_SILENT = 2
+"""Number of agents on other hosts to probe for each silent agent. A balancer
+that hears fewer agents than are silent attributes the silence to its own
+host."""
 
-STALE_S = 5.0
-"""Entries of servers that had ended before are replaced for so long after the
-list is first read, seconds; the flows were placed since, at the new ones."""
+STALE_ENTRIES_S = 5.0
+"""Time after the first read of the server list during which a replaced entry
+causes no recheck, seconds. Such an entry belongs to a server that had exited
+earlier, and the flows were placed at its replacement."""
 
-COPIES = 3
-"""How often a resting flow is tried for one reason; words get lost."""
+COPIES_PER_CAUSE = 3
+"""Number of copies sent for each idle flow and cause, since packets may be
+lost."""
 
-COPY_PAUSE_S = 1.0
-"""Time between two such tries, seconds."""
+COPY_INTERVAL_S = 1.0
+"""Time between two copies for the same flow, seconds."""
 
-BATCH = 50
-"""Flows tried in one look at the most; a link of 5 Mbit/s carries 50 packets of
-1.2 KB in 0.1 s."""
+FLOWS_PER_BATCH = 50
+"""Maximum number of copies sent to a server in one check. A 5 Mbit/s link
+carries 50 packets of 1.2 KB in 0.1 s."""
 
-FLOWS_A_LOOK = 5_000
-"""Flows walked in one look at the most, so that the process is not held up; a
-walk of more goes on at the next look."""
+FLOWS_PER_CHECK = 5_000
+"""Maximum number of flows scanned in one check, so that the process is not
+blocked; a longer scan continues in the next check."""
 
-VANISHED = "entry vanished"
-"""Reason of a doubt that holds until the entry is back; it brings copies once,
-while each replacement of a server does so anew."""
+ENTRY_VANISHED = "entry vanished"
+"""Reason of a recheck that lasts until the entry is back. It causes one series
+of copies, whereas each replacement of a server causes a new one."""
 
 
-class Doubt(Struct, eq=False):
-    """Flows of one server that may have ended.
+class Recheck(Struct, eq=False):
+    """A recheck of the idle flows of a server that may have exited.
 
     Attributes:
-        reason: Why, for the log.
-        since: What rests there is known by a walk that began then or later,
+        reason: Reason, for the log.
+        scan_from: Earliest start of a scan that has found all these flows,
             seconds.
-        due: When they are tried next, seconds.
-        copies: How often they were tried.
-        untried: Flows of this round that are yet to be tried.
+        next_at: When the next copies are due, seconds.
+        copies: Number of copies sent for each flow, this round included.
+        pending: Flows of this round without a copy yet.
     """
 
     reason: str
-    since: float
-    due: float
+    scan_from: float
+    next_at: float
     copies: int = 0
-    untried: list[bytes] = field(default_factory=list)
+    pending: list[bytes] = field(default_factory=list)
 
 
-class Rest(Struct, eq=False):
-    """What rests at one server.
+class IdleGroup(Struct, eq=False):
+    """The open flows of one server, as found by a scan.
 
     Attributes:
         server: The server.
-        flows: The flows.
-        used_at: When any of them was last used, seconds.
+        flows: Keys of the flows.
+        last_used_at: When any of the flows was last used, seconds.
     """
 
     server: Server
     flows: list[bytes] = field(default_factory=list)
-    used_at: float = float("-inf")
+    last_used_at: float = float("-inf")
 
 
-class Walk(Struct, eq=False):
-    """A walk over all flows, in slices.
+class Scan(Struct, eq=False):
+    """A scan of all flows, done in slices.
 
     Attributes:
-        began_at: When it began, seconds.
-        left: Flows that are yet to be looked at.
-        found: What rests, by id of the server.
+        started_at: When the scan started, seconds.
+        remaining: Flows still to be scanned.
+        groups: Open flows found, by id of the server.
     """
 
-    began_at: float = float("-inf")
-    left: list[bytes] = field(default_factory=list)
-    found: dict[str, Rest] = field(default_factory=dict)
+    started_at: float = float("-inf")
+    remaining: list[bytes] = field(default_factory=list)
+    groups: dict[str, IdleGroup] = field(default_factory=dict)
 
 
 class RestingKeeper(Struct, eq=False):
-    """Finds out about flows that rest.
+    """Monitors idle flows and the servers that hold them.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
-        finder: Finds flows.
-        doubts: Servers that may have ended, by id.
-        walk: The walk under way, or the last one.
-        resting: What the last walk that has ended found, by id of the server.
-        known_at: When that walk began, seconds.
-        look_due: When servers are next looked at, seconds.
+        health: Monitors the agents.
+        finder: Searches for flows.
+        rechecks: Rechecks of servers that may have exited, by id of the server.
+        scan: The current scan, or the last one.
+        idle_groups: Result of the last complete scan, by id of the server.
+        scanned_at: When that scan started, seconds.
+        next_check_at: When the servers are next checked, seconds.
     """
 
     board: BalancerBoard
     codec: SegmentCodec
     health: HealthKeeper
     finder: FlowFinder
-    doubts: dict[str, Doubt] = field(default_factory=dict)
-    walk: Walk = field(default_factory=Walk)
-    resting: dict[str, Rest] = field(default_factory=dict)
-    known_at: float = float("-inf")
-    look_due: float = 0.0
+    rechecks: dict[str, Recheck] = field(default_factory=dict)
+    scan: Scan = field(default_factory=Scan)
+    idle_groups: dict[str, IdleGroup] = field(default_factory=dict)
+    scanned_at: float = float("-inf")
+    next_check_at: float = 0.0
 
     def tick(self, now: float) -> None:
-        """Looks after the servers where flows rest."""
+        """Checks the servers that hold idle flows."""
         if not self.board.uses.resting:
             return
         self._search_displaced(now)
-        if now < self.look_due:
+        if now < self.next_check_at:
             return
-        self.look_due = now + LOOK_EVERY_S
-        if self._walk_on(now):
-            self._note_doubts(now)
-        self._probe_unheard(now)
-        for server_id, rest in list(self.resting.items()):
-            doubt = self.doubts.get(server_id)
-            if has_ended(rest.server, self.board.store_failed_at, now):
-                del self.resting[server_id]
-                self._give_up(rest.server, now)
-            elif doubt is not None and self._is_due(doubt, now):
-                self._try(rest, doubt, now)
-
-    def _is_due(self, doubt: Doubt, now: float) -> bool:
-        return now >= doubt.due and doubt.since <= self.known_at
+        self.next_check_at = now + CHECK_INTERVAL_S
+        if self._continue_scan(now):
+            self._update_rechecks(now)
+        self._probe_silent(now)
+        for server_id, group in list(self.idle_groups.items()):
+            recheck = self.rechecks.get(server_id)
+            if has_ended(group.server, self.board.store_failed_at, now):
+                del self.idle_groups[server_id]
+                self._give_up(group.server, now)
+            elif recheck is not None and self._is_due(recheck, now):
+                self._send_batch(group, recheck, now)
+
+    def _is_due(self, recheck: Recheck, now: float) -> bool:
+        return now >= recheck.next_at and recheck.scan_from <= self.scanned_at
 
     def _search_displaced(self, now: float) -> None:
-        """Looks for flows whose server has given its host to another."""
+        """Handles flows whose server was replaced by another on its host.
+
+        If the new server runs the same service, the flows are rechecked there;
+        otherwise they are searched for at the agents of their former service.
+        """
         board = self.board
         displaced, board.displaced = board.displaced, {}
         for flow, former in displaced.items():
@@ -160,82 +167,90 @@
             if placement is None or not _is_open(placement):
                 continue
             if placement.server.entry.service == former:
-                if now - board.known_since >= STALE_S:
+                if now - board.known_since >= STALE_ENTRIES_S:
                     server_id = placement.server.entry.server_id
-                    self._doubt(server_id, "server replaced", now, now)
+                    self._request_recheck(
+                        server_id, "server replaced", now, now
+                    )
                 continue
             del board.flows[flow]
             board.records.counters[Count.SEARCHED_AT_REST] += 1
             self.finder.on_unknown(former, placement.last, now)
 
-    def _walk_on(self, now: float) -> bool:
-        """Looks at some more flows; tells whether a walk has ended."""
-        board, walk = self.board, self.walk
-        if not walk.left:
-            walk = self.walk = Walk(now, list(board.flows))
-        for flow in walk.left[-FLOWS_A_LOOK:]:
+    def _continue_scan(self, now: float) -> bool:
+        """Scans the next slice of flows; returns whether the scan is done."""
+        board, scan = self.board, self.scan
+        if not scan.remaining:
+            scan = self.scan = Scan(now, list(board.flows))
+        for flow in scan.remaining[-FLOWS_PER_CHECK:]:
             placement = board.flows.get(flow)
             if placement is None or not _is_open(placement):
                 continue
             server_id = placement.server.entry.server_id
-            rest = walk.found.get(server_id)
-            if rest is None or rest.server is not placement.server:
-                rest = walk.found[server_id] = Rest(placement.server)
-            rest.flows.append(flow)
-            rest.used_at = max(rest.used_at, placement.last_at)
-        del walk.left[-FLOWS_A_LOOK:]
-        if walk.left:
+            group = scan.groups.get(server_id)
+            if group is None or group.server is not placement.server:
+                group = scan.groups[server_id] = IdleGroup(placement.server)
+            group.flows.append(flow)
+            group.last_used_at = max(group.last_used_at, placement.last_at)
+        del scan.remaining[-FLOWS_PER_CHECK:]
+        if scan.remaining:
             return False
-        self.resting, self.known_at = walk.found, walk.began_at
+        self.idle_groups, self.scanned_at = scan.groups, scan.started_at
         return True
 
-    def _note_doubts(self, now: float) -> None:
-        """Takes account of a walk that has ended."""
-        for server_id, doubt in list(self.doubts.items()):
-            if server_id not in self.resting and doubt.since <= self.known_at:
-                del self.doubts[server_id]
-        for server_id, rest in self.resting.items():
-            known = self.doubts.get(server_id)
-            if not rest.server.listed and not has_announced(rest.server):
-                # One that leaves closes its flows; its agent sees the rest.
-                self._doubt(server_id, VANISHED, self.known_at, now)
-            elif known is not None and known.reason == VANISHED:
-                del self.doubts[server_id]
-
-    def _doubt(
-        self, server_id: str, reason: str, since: float, now: float
+    def _update_rechecks(self, now: float) -> None:
+        """Adds and removes rechecks according to a completed scan."""
+        for server_id, recheck in list(self.rechecks.items()):
+            if (
+                server_id not in self.idle_groups
+                and recheck.scan_from <= self.scanned_at
+            ):
+                del self.rechecks[server_id]
+        for server_id, group in self.idle_groups.items():
+            existing = self.rechecks.get(server_id)
+            if not group.server.listed and not has_announced(group.server):
+                # A draining server closes its flows; its agent detects the
+                # remaining ones.
+                self._request_recheck(
+                    server_id, ENTRY_VANISHED, self.scanned_at, now
+                )
+            elif existing is not None and existing.reason == ENTRY_VANISHED:
+                del self.rechecks[server_id]
+
+    def _request_recheck(
+        self, server_id: str, reason: str, scan_from: float, now: float
     ) -> None:
-        """Has the flows of a server tried."""
-        known = self.doubts.get(server_id)
-        spent = known is not None and known.copies >= COPIES
-        renewed = spent and reason != VANISHED
-        if known is None or known.reason != reason or renewed:
-            self.doubts[server_id] = Doubt(reason, since, now)
-            self.look_due = now
-
-    def _probe_unheard(self, now: float) -> None:
-        """Asks agents that were not heard lately for a sign of life."""
-        pause_s = max(UNHEARD_S, len(self.resting) / PROBES_PER_S)
+        """Schedules copies for the idle flows of a server."""
+        existing = self.rechecks.get(server_id)
+        exhausted = existing is not None and existing.copies >= COPIES_PER_CAUSE
+        repeats = exhausted and reason != ENTRY_VANISHED
+        if existing is None or existing.reason != reason or repeats:
+            self.rechecks[server_id] = Recheck(reason, scan_from, now)
+            self.next_check_at = now
+
+    def _probe_silent(self, now: float) -> None:
+        """Probes agents with idle flows that were not heard recently."""
+        pause_s = max(PROBE_AFTER_S, len(self.idle_groups) / PROBES_PER_S_MAX)
         silent = 0
-        for rest in self.resting.values():
-            server = rest.server
-            if now - rest.used_at <= UNHEARD_S:
-                continue  # The packet asked already.
+        for group in self.idle_groups.values():
+            server = group.server
+            if now - group.last_used_at <= PROBE_AFTER_S:
+                continue  # The packet has already caused a probe.
             silent += server.suspected and not server.lost
             if now - server.heard_at > pause_s:
                 self._probe(server, now)
         if silent:
-            self._probe_witnesses(silent, now)
+            self._probe_reference_agents(silent, now)
 
-    def _probe_witnesses(self, silent: int, now: float) -> None:
-        """Asks agents elsewhere, to tell lost hosts from an own loss."""
+    def _probe_reference_agents(self, silent: int, now: float) -> None:
+        """Probes other agents, to tell lost hosts from an isolated balancer."""
         others = [
             server
             for server in self.board.by_host.values()
             if server.listed and not server.suspected
         ]
         others.sort(key=lambda server: -server.heard_at)
-        for server in others[: WITNESSES * silent]:
+        for server in others[: REFERENCE_PROBES_PER_SILENT * silent]:
             if now - server.heard_at > DOUBT_S:
                 self._probe(server, now)
 
@@ -243,31 +258,38 @@
         if self.health.probe(server, now):
             self.board.records.counters[Count.PROBED_AT_REST] += 1
 
-    def _try(self, rest: Rest, doubt: Doubt, now: float) -> None:
-        """Sends the last packets of flows once more, some at each look."""
-        if not doubt.untried:
-            doubt.copies += 1
-            doubt.untried = list(rest.flows)
-        batch, doubt.untried = doubt.untried[:BATCH], doubt.untried[BATCH:]
-        if doubt.untried:
-            doubt.due = now
+    def _send_batch(
+        self, group: IdleGroup, recheck: Recheck, now: float
+    ) -> None:
+        """Sends the last packets of flows again, one batch in each check."""
+        if not recheck.pending:
+            recheck.copies += 1
+            recheck.pending = list(group.flows)
+        batch, recheck.pending = (
+            recheck.pending[:FLOWS_PER_BATCH],
+            recheck.pending[FLOWS_PER_BATCH:],
+        )
+        if recheck.pending:
+            recheck.next_at = now
         else:
-            last_copy = doubt.copies >= COPIES
-            doubt.due = float("inf") if last_copy else now + COPY_PAUSE_S
-        server = rest.server
-        batch = [flow for flow in batch if self._is_at(flow, server)]
+            last_copy = recheck.copies >= COPIES_PER_CAUSE
+            recheck.next_at = (
+                float("inf") if last_copy else now + COPY_INTERVAL_S
+            )
+        server = group.server
+        batch = [flow for flow in batch if self._is_open_at(flow, server)]
         if batch:
-            self._send_copies(server, batch, doubt, now)
+            self._send_copies(server, batch, recheck, now)
 
-    def _is_at(self, flow: bytes, server: Server) -> bool:
-        """Tells whether a flow is still open at a server."""
+    def _is_open_at(self, flow: bytes, server: Server) -> bool:
+        """Tells whether a flow is still open at the given server."""
         placement = self.board.flows.get(flow)
         if placement is None or placement.server is not server:
             return False
         return _is_open(placement)
 
     def _send_copies(
-        self, server: Server, batch: list[bytes], doubt: Doubt, now: float
+        self, server: Server, batch: list[bytes], recheck: Recheck, now: float
     ) -> None:
         note = notes.to_agent(NoteKind.HELD, server.tag, notes.NO_WISH)
         for flow in batch:
@@ -282,9 +304,9 @@
             "try resting flows",
             b"",
             server.entry.server_id,
-            reason=doubt.reason,
+            reason=recheck.reason,
             flows=len(batch),
-            copies=doubt.copies,
+            copies=recheck.copies,
             heard_s=round(now - server.heard_at, 3),
         )
 
@@ -305,14 +327,14 @@
         board = self.board
         if not board.uses.resting or not (board.flows or board.displaced):
             return float("inf")
-        return float("-inf") if board.displaced else self.look_due
+        return float("-inf") if board.displaced else self.next_check_at
 
 
 def _is_open(placement: Placement) -> bool:
-    """Tells whether a flow is open as far as its balancer knows.
+    """Tells whether a flow is open as far as this balancer knows.
 
-    Where only the opening packet came through here, its caller may have chosen
-    another server that another balancer had offered the flow to.
+    If only the opening packet passed through this balancer, the caller may have
+    chosen another server that another balancer had offered the flow to.
     """
     opening = placement.last.opens or not placement.accepted
     return not opening and not placement.closing
--- a/notchhoist/flows/balancer/scope.py
+++ b/notchhoist/flows/balancer/scope.py
@@ -1,9 +1,10 @@
-"""Whom a balancer asks for a flow that it does not know.
+"""Selects the agents that a balancer queries about an unknown flow.
 
-First the agents of the likely service, then of every service that the route
-names. Where routes split, or did while a flow may live, a flow's service cannot
-be told from today's weights, nor from today's routes by a balancer that has
-just started: then all agents of the platform are asked before a flow is dead.
+The agents of the most likely service come first, then those of every service
+that the route names. While any route splits, or if one did within the lifetime
+of a flow, the current weights do not determine the flow's service; to a
+balancer that has just started, neither do the current routes. In these cases
+all agents of the platform are queried before a flow is considered dead.
 """
 
 from collections.abc import Iterable
@@ -16,33 +17,36 @@
 from notchhoist.flows.model.segments import Segment
 from notchhoist.flows.published.reroutings import may_hold_others
 
-WIDE_HEADS_MAX = 100_000
-"""Questions under way about single flows to agents of services that their
-routes do not name. At 34 bytes each they take a link of 100 Mbit/s 0.3 s; with
-4,300 servers they are about 23 flows, and more are left to the caller's next
-copy."""
+WIDE_QUERIES_MAX = 100_000
+"""Maximum number of flow headers in pending queries to agents of services that
+the flows' routes do not name. At 34 bytes each, 100,000 headers occupy a
+100 Mbit/s link for 0.3 s. With 4,300 servers they cover about 23 flows; further
+flows are searched for again on the caller's next retransmission."""
 
 
 class SearchScope(Struct, eq=False):
-    """Chooses the agents that are asked.
+    """Selects the agents to query.
 
     Attributes:
-        board: What the balancer knows.
-        evidence: Says which agents may hold flows of a service.
-        wide_heads: Questions under way that ``WIDE_HEADS_MAX`` bounds.
+        board: State of the balancer.
+        evidence: Knows which agents may have flows of a service.
+        wide_queries: Number of pending headers limited by
+            ``WIDE_QUERIES_MAX``.
     """
 
     board: BalancerBoard
     evidence: Evidence
-    wide_heads: int = 0
+    wide_queries: int = 0
 
-    def services(self, likely: str, segment: Segment) -> tuple[str, ...]:
-        """Returns the services that a packet's route names, one first.
+    def candidate_services(
+        self, likely: str, segment: Segment
+    ) -> tuple[str, ...]:
+        """Returns the services of a packet's route, the most likely one first.
 
         Args:
-            likely: The service that most likely holds its flow. One that the
-                route does not name has taken over the address of the flow's
-                server, or was named before.
+            likely: The service that most likely holds the flow. If the route
+                does not name it, that service has taken over the address of
+                the flow's server, or the route named it earlier.
             segment: The packet.
         """
         table = self.board.table
@@ -54,16 +58,17 @@
         return tuple(dict.fromkeys((first, *named)))
 
     def tags_of(self, hosts: Iterable[str]) -> dict[str, int]:
-        """Returns the tags that agents are asked under, by host.
+        """Returns the service tags for queries to agents, by host.
 
-        Each is that of the service beside it: under another an agent that has
-        started lately would deny flows that its server holds.
+        Each is the tag of the service on that host. Under any other tag, an
+        agent that has started recently would report flows absent that its
+        server holds.
         """
         by_host = self.board.by_host
         return {host: by_host[host].tag for host in hosts if host in by_host}
 
-    def unasked(self, search: Search) -> dict[str, int]:
-        """Returns agents of the search's services to ask, with their tags."""
+    def unqueried_agents(self, search: Search) -> dict[str, int]:
+        """Returns the agents of a search still to be queried, with tags."""
         tags = self.tags_of(self.evidence.hosts_of(search.services))
         asked = search.asked
         return {
@@ -71,25 +76,25 @@
         }
 
     def widen(self, search: Search, now: float) -> dict[str, int]:
-        """Adds the other services of the platform where they may hold a flow.
+        """Extends a search to all other services that may have the flow.
 
         Returns:
-            Their agents to ask, with their tags.
+            Their agents to query, with their tags.
         """
         if search.partial or not self._may_be_elsewhere(now):
             return {}
-        # An upper bound: to list the agents of a large platform for each of
-        # many searches would hold the process up.
+        # An upper bound: listing the agents of a large platform for each of
+        # many searches would block the process.
         most = len(self.board.by_host) - len(search.asked)
-        if self.wide_heads + most > WIDE_HEADS_MAX:
+        if self.wide_queries + most > WIDE_QUERIES_MAX:
             search.partial = True
             return {}
         every = (*search.services, *self.board.by_service)
         search.services = tuple(dict.fromkeys(every))
-        fresh = self.unasked(search)
+        fresh = self.unqueried_agents(search)
         if fresh:
             self.board.records.counters[Count.ASKED_WIDELY] += 1
-        self.wide_heads += len(fresh)
+        self.wide_queries += len(fresh)
         search.wide += len(fresh)
         return fresh
 
@@ -97,5 +102,5 @@
         return self.board.uses.splits and may_hold_others(self.board, now)
 
     def on_ended(self, search: Search) -> None:
-        """Takes account of a search that has ended."""
-        self.wide_heads -= search.wide
+        """Releases the query budget of a search that has ended."""
+        self.wide_queries -= search.wide
--- a/notchhoist/flows/balancer/search_records.py
+++ b/notchhoist/flows/balancer/search_records.py
@@ -1,41 +1,42 @@
-"""What is logged and counted of searches for flows."""
+"""Log lines, counters and metrics of flow searches."""
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Search
 from notchhoist.flows.model.records import Count, Timing
 
-SERVICES_NAMED = 6
-"""Services that a line names; a platform may have hundreds."""
+SERVICES_LOGGED_MAX = 6
+"""Maximum number of services that a log line names; a platform may have
+hundreds."""
 
 
 def services_text(search: Search) -> str:
-    """Returns the services that were searched, for the log."""
-    named = " ".join(search.services[:SERVICES_NAMED])
-    more = len(search.services) - SERVICES_NAMED
+    """Returns the names of the searched services, for the log."""
+    named = " ".join(search.services[:SERVICES_LOGGED_MAX])
+    more = len(search.services) - SERVICES_LOGGED_MAX
     return f"{named} and {more} more" if more > 0 else named
 
 
-def observe(
+def record_duration(
     board: BalancerBoard, search: Search, outcome: str, now: float
 ) -> None:
-    """Notes how long a search took, under the likely service."""
+    """Records how long a search took, under its most likely service."""
     board.records.observe(
         Timing.FINDING, search.services[0], outcome, now - search.since
     )
 
 
-def note_given_up(
+def record_given_up(
     board: BalancerBoard, flow: bytes, search: Search, reason: str, now: float
 ) -> None:
-    """Notes a search that ended without a reset.
+    """Counts and logs a search that ended without a result or a reset.
 
     Args:
-        board: What the balancer knows.
+        board: State of the balancer.
         flow: The flow that was searched for.
         search: The search.
-        reason: Which agents may hold the flow.
+        reason: Which agents may still have the flow.
         now: Runtime clock, seconds.
     """
-    observe(board, search, "given up", now)
+    record_duration(board, search, "given up", now)
     board.records.counters[Count.FINDS_GIVEN_UP] += 1
     board.records.decide(
         "give up finding",
@@ -48,14 +49,14 @@
     )
 
 
-def nowhere_inputs(
-    search: Search, known_at: float, now: float
+def absence_inputs(
+    search: Search, confirmed_up_to: float, now: float
 ) -> dict[str, object]:
-    """Returns what decided that a flow is nowhere, for the log.
+    """Returns the facts that prove a flow absent, for the log.
 
     Args:
         search: The search.
-        known_at: Everything published up to this time is known, seconds.
+        confirmed_up_to: Everything published up to this time is known, seconds.
         now: Runtime clock, seconds.
     """
     denied_at = now if search.denied_at is None else search.denied_at
@@ -65,7 +66,7 @@
         "searched_s": round(now - search.since, 3),
         "answered_s": round(search.answered_s, 3),
         "denied_s": round(denied_at - search.since, 3),
-        "confirmed": known_at >= search.since,
+        "confirmed": confirmed_up_to >= search.since,
         "rounds": search.rounds,
         "asked": len(search.asked),
         "asked_widely": search.wide,
--- a/notchhoist/flows/balancer/tests/test_finding.py
+++ b/notchhoist/flows/balancer/tests/test_finding.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from notchhoist.flows.balancer.finding import DENIED_WAIT_S
+from notchhoist.flows.balancer.finding import UNCONFIRMED_RESET_DELAY_S
 from notchhoist.flows.balancer.node import make_balancer
-from notchhoist.flows.balancer.trying import TRY_WAIT_S
+from notchhoist.flows.balancer.trying import SAMPLE_WAIT_MIN_S
 from notchhoist.flows.decisions.placing import CHOICES
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import (
@@ -76,7 +76,7 @@
     node.on_caller(lost, 0.0)
     assert not resets(tell(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002))
     assert not resets(tell(node, "10.0.0.2", lost, NoteKind.ABSENT, 0.003))
-    [effect] = resets(node.tick(0.003 + DENIED_WAIT_S))
+    [effect] = resets(node.tick(0.003 + UNCONFIRMED_RESET_DELAY_S))
     assert CODEC.decode_answer(effect.datagram).seq == 77
 
 
@@ -87,7 +87,7 @@
     node.on_caller(lost, 0.0)
     tell_flow(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
     node.fleet.on_entry(entry(2), 5, 0.4)
-    [host] = asked_agents(node.tick(0.002 + DENIED_WAIT_S))
+    [host] = asked_agents(node.tick(0.002 + UNCONFIRMED_RESET_DELAY_S))
     assert host == "10.0.0.2"
     effects = tell_flow(node, host, lost, NoteKind.PRESENT, 0.71)
     assert packets(effects)
@@ -124,7 +124,7 @@
     node.on_caller(lost, 0.0)
     tell_flow(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
     tell_flow(node, "10.0.0.2", lost, NoteKind.UNSURE, 0.003)
-    effects = node.tick(0.003 + TRY_WAIT_S)
+    effects = node.tick(0.003 + SAMPLE_WAIT_MIN_S)
     assert lost.flow not in node.board.searches
     assert lost.flow not in node.board.flows
     assert not resets(effects)
@@ -205,7 +205,7 @@
     lost = request(data=b"x")
     assert not confirms(deny_everywhere(node, lost, 5.0))
     assert not resets(node.tick(5.3))
-    assert len(resets(node.tick(5.002 + DENIED_WAIT_S))) == 1
+    assert len(resets(node.tick(5.002 + UNCONFIRMED_RESET_DELAY_S))) == 1
 
 
 def test_a_balancer_that_has_just_started_may_miss_a_lapsed_server():
@@ -267,7 +267,7 @@
     lost = request(data=b"x")
     deny_everywhere(node, lost, 5.0)
     assert not resets(confirm(node, False, 5.5))
-    assert len(resets(node.tick(5.002 + DENIED_WAIT_S))) == 1
+    assert len(resets(node.tick(5.002 + UNCONFIRMED_RESET_DELAY_S))) == 1
 
 
 def test_a_found_flow_keeps_what_its_request_wishes_for():
--- a/notchhoist/flows/balancer/tests/test_lives.py
+++ b/notchhoist/flows/balancer/tests/test_lives.py
@@ -37,7 +37,7 @@
     assert question.number != old.number
     node.on_peer("10.0.0.1", FlowsTell(old.number), NOW)
     [line] = node.finder.questions.lines.values()
-    assert ours.flow in line.heads
+    assert ours.flow in line.headers
 
 
 def test_views_told_to_a_former_life_are_not_taken_for_fresh():
--- a/notchhoist/flows/balancer/tests/test_questions.py
+++ b/notchhoist/flows/balancer/tests/test_questions.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from notchhoist.flows.balancer.questions import (
-    BYTES_A_QUESTION,
-    REPEAT_MOST_S,
-    REPEAT_S,
+    QUERY_BYTES_MAX,
+    RETRY_DELAY_MAX_S,
+    RETRY_DELAY_S,
 )
 from notchhoist.flows.model.effects import SendPeer
 from notchhoist.flows.model.messages import FlowsAsk, FlowsTell, LoadTell
@@ -44,7 +44,7 @@
     while asked:
         question = asked.pop()
         heads += len(question.heads)
-        assert sum(len(head) for head in question.heads) <= BYTES_A_QUESTION
+        assert sum(len(head) for head in question.heads) <= QUERY_BYTES_MAX
         flows = [CODEC.decode_request(head).flow for head in question.heads]
         tell = FlowsTell(question.number, absent=tuple(flows))
         asked += questions(node.on_peer(HOST, tell, 0.01))
@@ -59,10 +59,10 @@
     sent = 0
     for step in range(1, 200):
         now = 0.01 * step
-        ask.ask([HOST], TAG, lost_flow(1), now)
+        ask.query([HOST], TAG, lost_flow(1), now)
         ask.tick(now)
         sent += len(questions(node.take_effects()))
-    assert sent <= 2 + 2.0 / REPEAT_MOST_S + 2
+    assert sent <= 2 + 2.0 / RETRY_DELAY_MAX_S + 2
 
 
 def test_an_answer_that_comes_after_the_repeat_counts():
@@ -115,7 +115,7 @@
         found = questions(effects)
         sent += len(found)
         under_way = found[-1] if found else under_way
-    assert sent <= 1 + 2 * answers + now / REPEAT_S
+    assert sent <= 1 + 2 * answers + now / RETRY_DELAY_S
 
 
 def test_an_agent_answers_about_several_flows_at_once():
--- a/notchhoist/flows/balancer/tests/test_resting.py
+++ b/notchhoist/flows/balancer/tests/test_resting.py
@@ -5,7 +5,7 @@
 import pytest
 
 from notchhoist.flows.balancer import resting
-from notchhoist.flows.balancer.resting import COPIES
+from notchhoist.flows.balancer.resting import COPIES_PER_CAUSE
 from notchhoist.flows.boards.balancer_board import Placement
 from notchhoist.flows.decisions.ending import GONE_S, LEFT_S, has_ended
 from notchhoist.flows.model import notes
@@ -63,7 +63,7 @@
     newer = entry(fleet.number, server_id="new", created=9)
     fleet.node.fleet.on_entry(newer, 9, fleet.now)
     fleet.run(10.0)
-    assert [host for host, _ in fleet.sent] == [fleet.host] * COPIES
+    assert [host for host, _ in fleet.sent] == [fleet.host] * COPIES_PER_CAUSE
     kinds = {notes.kind_of(segment.note) for _, segment in fleet.sent}
     assert kinds == {NoteKind.HELD}
 
@@ -77,7 +77,7 @@
         back = entry(fleet.number)
         fleet.node.fleet.on_entry(back, revision + 1, fleet.now)
         fleet.run(1.0)
-    assert len(fleet.sent) == 2 * COPIES
+    assert len(fleet.sent) == 2 * COPIES_PER_CAUSE
 
 
 def replaced_with(extra):
@@ -101,17 +101,17 @@
     fleet = replaced_with(299)
     tries = collections.Counter(segment.flow for _, segment in fleet.sent)
     assert len(tries) == 300
-    assert set(tries.values()) == {COPIES}
+    assert set(tries.values()) == {COPIES_PER_CAUSE}
     counters = fleet.node.board.records.counters
-    assert counters[Count.SEARCHED_AT_REST] == 300 * COPIES
+    assert counters[Count.SEARCHED_AT_REST] == 300 * COPIES_PER_CAUSE
 
 
 def test_more_flows_than_one_look_walks_are_tried_too(monkeypatch):
-    monkeypatch.setattr(resting, "FLOWS_A_LOOK", 30)
+    monkeypatch.setattr(resting, "FLOWS_PER_CHECK", 30)
     walked = replaced_with(99)
     tries = collections.Counter(segment.flow for _, segment in walked.sent)
     assert len(tries) == 100
-    assert set(tries.values()) == {COPIES}
+    assert set(tries.values()) == {COPIES_PER_CAUSE}
 
 
 def test_one_look_walks_a_bounded_number_of_flows(monkeypatch):
@@ -123,12 +123,12 @@
     )
     fleet = Fleet()
     [placement] = fleet.node.board.flows.values()
-    for number in range(resting.FLOWS_A_LOOK + 10):
+    for number in range(resting.FLOWS_PER_CHECK + 10):
         fleet.node.board.flows[number.to_bytes(4, "big")] = placement
     fleet.node.tick(1.0)
-    assert len(asked) == resting.FLOWS_A_LOOK
+    assert len(asked) == resting.FLOWS_PER_CHECK
     fleet.node.tick(1.6)
-    assert len(asked) == resting.FLOWS_A_LOOK + 11
+    assert len(asked) == resting.FLOWS_PER_CHECK + 11
 
 
 def test_each_replacement_under_one_id_brings_copies():
@@ -140,7 +140,7 @@
         )
         fleet.node.fleet.on_entry(newer, created, fleet.now)
         fleet.run(5.0)
-    assert len(fleet.sent) == 2 * COPIES
+    assert len(fleet.sent) == 2 * COPIES_PER_CAUSE
 
 
 def test_out_of_use_nothing_is_kept_of_replaced_servers():
--- a/notchhoist/flows/balancer/tests/test_settled.py
+++ b/notchhoist/flows/balancer/tests/test_settled.py
@@ -6,8 +6,8 @@
 import pytest
 
 from notchhoist.flows.balancer.confirming import (
-    CONFIRM_AGAIN_MOST_S,
-    CONFIRM_AGAIN_S,
+    CONFIRM_BACKOFF_MAX_S,
+    CONFIRM_BACKOFF_S,
 )
 from notchhoist.flows.decisions.completeness import RETURN_S
 from notchhoist.flows.model.effects import ConfirmView
@@ -48,7 +48,7 @@
     assert wants_confirmation(node)
     node.finder.confirmer.on_failed(NOW + 0.05)
     assert not resets(node.tick(NOW + 0.1))
-    effects = node.tick(NOW + 0.05 + CONFIRM_AGAIN_S)
+    effects = node.tick(NOW + 0.05 + CONFIRM_BACKOFF_S)
     assert any(isinstance(item, ConfirmView) for item in effects)
 
 
@@ -57,18 +57,18 @@
     confirmer = balancer().finder.confirmer
     now, pauses = NOW, []
     for _ in range(5):
-        confirmer.want(now)
+        confirmer.request_confirmation(now)
         confirmer.on_failed(now)
         pauses.append(confirmer.due() - now)
         now = confirmer.due()
     assert pauses[:3] == pytest.approx([0.2, 0.4, 0.8])
-    assert pauses[3:] == pytest.approx([CONFIRM_AGAIN_MOST_S] * 2)
-    confirmer.want(now)
+    assert pauses[3:] == pytest.approx([CONFIRM_BACKOFF_MAX_S] * 2)
+    confirmer.request_confirmation(now)
     confirmer.on_confirmed()
     now = confirmer.due()
-    confirmer.want(now)
+    confirmer.request_confirmation(now)
     confirmer.on_failed(now)
-    assert confirmer.due() - now == pytest.approx(CONFIRM_AGAIN_S)
+    assert confirmer.due() - now == pytest.approx(CONFIRM_BACKOFF_S)
 
 
 def test_a_list_that_was_never_calm_may_lack_a_lapsed_server():
--- a/notchhoist/flows/balancer/tests/test_splits.py
+++ b/notchhoist/flows/balancer/tests/test_splits.py
@@ -3,7 +3,7 @@
 import pytest
 
 from notchhoist.flows.balancer import scope
-from notchhoist.flows.balancer.finding import DENIED_WAIT_S
+from notchhoist.flows.balancer.finding import UNCONFIRMED_RESET_DELAY_S
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.codec.message_codec import decode_message, encode_message
 from notchhoist.flows.model import notes
@@ -108,9 +108,9 @@
 def test_a_flow_is_dead_only_where_no_service_holds_it():
     node = balancer(split((OLD, 1), (NEW, 1)), services=(OLD, NEW))
     search(node, [OLD_HOST])
-    assert not resets(node.tick(2.01 + DENIED_WAIT_S))
+    assert not resets(node.tick(2.01 + UNCONFIRMED_RESET_DELAY_S))
     tell_flow(node, NEW_HOST, LOST, NoteKind.ABSENT, 2.8)
-    assert len(resets(node.tick(2.8 + DENIED_WAIT_S))) == 1
+    assert len(resets(node.tick(2.8 + UNCONFIRMED_RESET_DELAY_S))) == 1
 
 
 def test_where_any_route_splits_all_agents_are_asked_before_a_reset():
@@ -125,7 +125,9 @@
     node = balancer(split((NEW, 1)), split((OLD, 1), port=444))
     effects, asked = search(node, [NEW_HOST])
     assert asked == [NEW_HOST]
-    assert len(resets(effects + node.tick(2.01 + DENIED_WAIT_S))) == 1
+    assert (
+        len(resets(effects + node.tick(2.01 + UNCONFIRMED_RESET_DELAY_S))) == 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -208,7 +210,7 @@
     other = split((OLD, 1), (THIRD, 1), port=444)
     change(node, split((OLD, 1), (NEW, 1), (THIRD, 1)), other, now=2.25)
     ended = node.board.searches[LOST.flow]
-    node.finder._ask(ended, {OLD_HOST: service_tag(THIRD)}, 2.3)
+    node.finder._query(ended, {OLD_HOST: service_tag(THIRD)}, 2.3)
     node.finder._end(LOST.flow, ended)
     for tenths in range(24, 44):
         node.tick(tenths / 10)
@@ -252,12 +254,12 @@
 
 def test_wide_searches_beyond_the_bound_are_left_alone(monkeypatch):
     """Asking everybody about everything is worse than a caller's next copy."""
-    monkeypatch.setattr(scope, "WIDE_HEADS_MAX", 1)
+    monkeypatch.setattr(scope, "WIDE_QUERIES_MAX", 1)
     other = split((OLD, 1), (THIRD, 1), port=444)
     node = balancer(split((NEW, 1)), other)
     effects, asked = search(node, [NEW_HOST])
     assert asked == [NEW_HOST]
-    assert not resets(effects + node.tick(2.01 + 2 * DENIED_WAIT_S))
+    assert not resets(effects + node.tick(2.01 + 2 * UNCONFIRMED_RESET_DELAY_S))
     assert LOST.flow not in node.board.searches
 
 
@@ -265,9 +267,9 @@
     other = split((OLD, 1), (THIRD, 1), port=444)
     node = balancer(split((NEW, 1)), other)
     search(node, [NEW_HOST])
-    assert node.finder.scope.wide_heads == 2
+    assert node.finder.scope.wide_queries == 2
     tell_flow(node, THIRD_HOST, LOST, NoteKind.PRESENT, 2.02)
-    assert node.finder.scope.wide_heads == 0
+    assert node.finder.scope.wide_queries == 0
 
 
 def test_out_of_use_the_search_is_narrow():
--- a/notchhoist/flows/balancer/trying.py
+++ b/notchhoist/flows/balancer/trying.py
@@ -1,7 +1,8 @@
-"""A balancer's controller that lets unsure agents find out by a packet.
+"""Locates flows by sample packets where agents are unsure.
 
-An agent that has restarted beside a living server cannot tell which flows that
-holds; the server itself gives back what is not its own.
+An agent that has restarted while its server kept running does not know which
+flows the server holds. The server itself returns packets of flows that it does
+not hold.
 """
 
 from msgspec import Struct
@@ -12,35 +13,40 @@
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
-TRY_WAIT_S = 0.4
-"""Unsure agents have this long to tell what came of a packet, seconds, or
-``TRY_WAITS`` times as long as all agents took to answer this search: 98 answers
-take a host with 0.163 of a core 0.2 s, and one with 0.038 a second."""
+SAMPLE_WAIT_MIN_S = 0.4
+"""Minimum time to wait for the outcomes of sample packets, seconds. The wait is
+``SAMPLE_WAIT_FACTOR`` times as long as all agents took to answer the search if
+that is longer: 98 answers take 0.2 s on a host with 0.163 of a core, and 1 s on
+one with 0.038."""
 
-TRY_WAITS = 3.0
+SAMPLE_WAIT_FACTOR = 3.0
 
-TRY_WAIT_MOST_S = 1.5
-"""The longest such time, seconds."""
+SAMPLE_WAIT_MAX_S = 1.5
+"""Maximum time to wait for the outcomes of sample packets, seconds."""
 
 
 class FlowTrier(Struct, eq=False):
-    """Hands one packet of a flow to every agent that cannot tell.
+    """Sends a packet of a flow as a sample to every unsure agent.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        questions: Carries the packets, those of several flows together.
+        questions: Batches the samples of several flows into queries.
     """
 
     board: BalancerBoard
     codec: SegmentCodec
     questions: Questions
 
-    def try_unsure(self, search: Search, now: float) -> bool:
-        """Tries all unsure agents of a search; tells whether there are any.
+    def send_to_unsure(self, search: Search, now: float) -> bool:
+        """Sends a sample to all unsure agents of a search.
 
-        Every agent is unsure after a loss of power. Tried one after the other
-        they would take a round trip each, and callers leave meanwhile.
+        After a power failure every agent is unsure. Samples sent to one agent
+        after the other would take a round trip each, and callers would abandon
+        their flows meanwhile.
+
+        Returns:
+            Whether there was any unsure agent.
         """
         hosts = [host for host in search.unsure if host in self.board.by_host]
         search.unsure.clear()
@@ -48,17 +54,19 @@
         if not hosts:
             return False
         search.trying.update(hosts)
-        sample = min(search.waiting, key=_cost_to_try)
+        sample = min(search.waiting, key=_sample_rank)
         by_tag: dict[int, list[str]] = {}
         for host in hosts:
             by_tag.setdefault(self.board.by_host[host].tag, []).append(host)
-        for tag, beside in by_tag.items():
+        for tag, tagged_hosts in by_tag.items():
             note = request_note(self.board, search, NoteKind.TRY, tag, now)
             datagram = self.codec.with_note(sample, note)
-            self.questions.try_packet(beside, tag, sample.flow, datagram, now)
+            self.questions.send_sample(
+                tagged_hosts, tag, sample.flow, datagram, now
+            )
         search.answered_s = now - search.since
-        waits_s = TRY_WAITS * search.answered_s
-        search.try_s = min(max(TRY_WAIT_S, waits_s), TRY_WAIT_MOST_S)
+        waits_s = SAMPLE_WAIT_FACTOR * search.answered_s
+        search.try_s = min(max(SAMPLE_WAIT_MIN_S, waits_s), SAMPLE_WAIT_MAX_S)
         return True
 
 
@@ -69,11 +77,11 @@
     tag: int,
     now: float,
 ) -> int:
-    """Returns a note for an agent with what a flow's requests wish for.
+    """Returns the note of a packet for an agent, with the flow's request hints.
 
-    It bears the tag of the agent's own service, as a flow may be at another one
-    than its route names now. Without the wish a request that changed balancers
-    would count as late from the start.
+    It carries the tag of the agent's own service, since a flow may be at a
+    service that its route no longer names. Without the hints a request that
+    moves to another balancer would count as late from the start.
     """
     table = board.table
     service_key = search.waiting[0].service_key
@@ -84,10 +92,10 @@
     return notes.to_agent(kind, tag, wish)
 
 
-def _cost_to_try(segment: Segment) -> tuple[bool, bool, int]:
-    """Orders the packets that may find out where a flow is, the best first.
+def _sample_rank(segment: Segment) -> tuple[bool, bool, int]:
+    """Returns a sort key that ranks packets as samples, the best one first.
 
-    One is enough. A server that holds the flow answers data, but may keep
-    silent about an acknowledgement.
+    A server that holds the flow answers data but may not answer an
+    acknowledgement. The smallest packet with data is enough.
     """
     return (segment.resets, not segment.size, segment.size)
