--- a/notchhoist/flows/balancer/tests/test_anew.py
+++ b/notchhoist/flows/balancer/tests/test_anew.py
@@ -1,7 +1,7 @@
-"""Flows that were lost with the power of a whole service are told at once.
+"""Flows lost in a power failure of a whole service are reset at once.
 
-Every agent had just started and could not say that a flow is not at its server,
-so each lost flow was tried at every server of its service.
+Guards against a sample packet of each lost flow to every server of its service,
+which happens if all agents are unsure because they have just started.
 """
 
 import pytest
@@ -23,7 +23,7 @@
 KNOWN_AT = 50.0
 NOW = KNOWN_AT + 0.1
 OLD_AGENT_MS = 200
-"""It had started before the balancer knew where to place a flow."""
+"""Age of an agent that started before the balancer could place flows, ms."""
 
 YOUNG_AGENT_MS = 40
 LOST = request(data=b"more", seq=500, ack=900)
@@ -40,87 +40,87 @@
     return node
 
 
-def line_of(node, host):
-    lines = node.finder.questions.lines
-    [line] = [line for (name, _), line in lines.items() if name == host]
-    return line
+def queue_of(node, host):
+    queues = node.finder.questions.lines
+    [queue] = [queue for (name, _), queue in queues.items() if name == host]
+    return queue
 
 
-def search(node, ages_ms, now=NOW):
-    """Looks for a lost flow; agents say for how long they have run."""
+def search_lost_flow(node, ages_ms, now=NOW):
+    """Searches for a lost flow; unsure agents report their ages."""
     effects = node.on_caller(LOST, now)
     hosts = asked_agents(effects)
     for host, age_ms in zip(hosts, ages_ms, strict=True):
         tell = FlowsTell(
-            line_of(node, host).number, unsure=(LOST.flow,), age_ms=age_ms
+            queue_of(node, host).number, unsure=(LOST.flow,), age_ms=age_ms
         )
         effects = node.on_peer(host, tell, now)
     return effects
 
 
-def is_reset(node, now=NOW):
+def is_reset_when_confirmed(node, now=NOW):
     node.finder.on_view_confirmed(now)
     return bool(resets(node.take_effects()))
 
 
-def test_a_lost_flow_is_told_after_one_round_of_questions():
+def test_lost_flow_is_reset_after_one_round_of_queries():
     node = balancer()
-    assert not tried_agents(search(node, [OLD_AGENT_MS] * 2))
-    assert is_reset(node)
+    assert not tried_agents(search_lost_flow(node, [OLD_AGENT_MS] * 2))
+    assert is_reset_when_confirmed(node)
 
 
-def test_an_agent_that_came_a_moment_later_had_no_forerunner():
+def test_agent_started_shortly_after_first_placement_has_no_predecessor():
     node = balancer()
-    assert not tried_agents(search(node, [YOUNG_AGENT_MS] * 2))
-    assert is_reset(node)
+    assert not tried_agents(search_lost_flow(node, [YOUNG_AGENT_MS] * 2))
+    assert is_reset_when_confirmed(node)
 
 
-def test_an_agent_that_was_restarted_since_is_tried():
+def test_agent_restarted_later_gets_a_sample():
     node = balancer()
     now = KNOWN_AT + LEAST_AWAY_S + 0.2
     first, second = asked_agents(node.on_caller(LOST, now))
     for host, age_ms in ((first, 1000), (second, 100)):
         tell = FlowsTell(
-            line_of(node, host).number, unsure=(LOST.flow,), age_ms=age_ms
+            queue_of(node, host).number, unsure=(LOST.flow,), age_ms=age_ms
         )
         effects = node.on_peer(host, tell, now)
     assert [host for host, _ in tried_agents(effects)] == [second]
-    assert not is_reset(node, now)
+    assert not is_reset_when_confirmed(node, now)
 
 
-def test_a_server_that_outlived_the_others_may_hold_the_flow():
-    """Only some hosts had lost their power, or a release is under way."""
+def test_agents_get_samples_if_one_server_did_not_restart():
+    """Only some hosts lost power, or a release is in progress."""
     node = balancer(warm=(2,))
-    assert len(tried_agents(search(node, [OLD_AGENT_MS] * 2))) == 2
+    assert len(tried_agents(search_lost_flow(node, [OLD_AGENT_MS] * 2))) == 2
 
 
-def test_an_agent_of_a_former_version_tells_no_age():
-    assert len(tried_agents(search(balancer(), [0, 0]))) == 2
+def test_agents_of_older_versions_report_no_age():
+    assert len(tried_agents(search_lost_flow(balancer(), [0, 0]))) == 2
 
 
-def test_a_balancer_that_has_started_later_than_others_learns_of_it():
-    """They may have placed flows through an agent that has ended since."""
+def test_balancer_learns_of_earlier_placements_by_others():
+    """Others may have placed flows through an agent that has exited since."""
     node = balancer()
     change = ViewChange(1, 1, 1, 15.0, (), (), (), (), 1, 2)
     node.on_peer(
         "10.0.9.9", ViewTell(change, 0.1, (), placing_for_ms=5000), NOW
     )
-    assert len(tried_agents(search(node, [OLD_AGENT_MS] * 2))) == 2
+    assert len(tried_agents(search_lost_flow(node, [OLD_AGENT_MS] * 2))) == 2
 
 
-def test_it_tells_others_since_when_flows_may_have_been_placed():
+def test_balancer_reports_since_when_flows_may_be_placed():
     node = balancer()
     effects = node.on_peer("10.0.9.9", ViewAsk(0, 0, 1), KNOWN_AT + 2.0)
-    told = [e.message for e in effects if isinstance(e, SendPeer)]
-    assert [m.placing_for_ms for m in told if isinstance(m, ViewTell)] == [2000]
+    sent = [e.message for e in effects if isinstance(e, SendPeer)]
+    assert [m.placing_for_ms for m in sent if isinstance(m, ViewTell)] == [2000]
 
 
 @pytest.mark.parametrize("age_ms", [OLD_AGENT_MS, YOUNG_AGENT_MS])
-def test_a_flow_that_an_agent_has_seen_begin_is_found(age_ms):
+def test_flow_reported_present_is_found(age_ms):
     node = balancer()
     [first, _] = asked_agents(node.on_caller(LOST, NOW))
     tell = FlowsTell(
-        line_of(node, first).number, present=(LOST.flow,), age_ms=age_ms
+        queue_of(node, first).number, present=(LOST.flow,), age_ms=age_ms
     )
     [(host, _)] = packets(node.on_peer(first, tell, NOW))
     assert host == first
--- a/notchhoist/flows/balancer/tests/test_finding.py
+++ b/notchhoist/flows/balancer/tests/test_finding.py
@@ -1,4 +1,4 @@
-"""A balancer: flows that it does not know are found, or shown to be dead."""
+"""A balancer searches for flows that it does not know, or resets them."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 from notchhoist.flows.tests.crafting import CODEC, entry, request
 
 
-def test_an_unknown_flow_is_asked_for_everywhere_and_found():
+def test_unknown_flow_is_searched_at_all_agents_and_found():
     node = balancer()
     lost = request(data=b"x", ack=77)
     asked = asked_agents(node.on_caller(lost, 0.0))
@@ -39,21 +39,21 @@
     assert (host, segment.size) == ("10.0.0.3", 1)
 
 
-def test_a_large_service_is_asked_in_two_steps():
-    """All 44 agents of a service were asked for each flow at each change."""
+def test_large_service_is_queried_in_two_steps():
+    """Otherwise each change makes all 44 agents get a query for each flow."""
     node = balancer(servers=44)
     lost = request(data=b"x")
     asked = set(asked_agents(node.on_caller(lost, 0.0)))
     assert len(asked) == CHOICES
-    rest = []
+    remaining = []
     for host in asked:
         effects = tell_flow(node, host, lost, NoteKind.ABSENT, 0.002)
-        rest += asked_agents(effects)
-    assert len(rest) == 44 - CHOICES
-    assert asked.isdisjoint(rest)
+        remaining += asked_agents(effects)
+    assert len(remaining) == 44 - CHOICES
+    assert asked.isdisjoint(remaining)
 
 
-def test_a_silent_agent_does_not_keep_the_others_from_being_asked():
+def test_silent_agent_does_not_block_queries_to_others():
     node = balancer(servers=44)
     asked = asked_agents(node.on_caller(request(data=b"x"), 0.0))
     asked += asked_agents(node.tick(0.09))
@@ -61,7 +61,7 @@
     assert len(set(asked)) == 44
 
 
-def test_flows_of_a_large_service_are_placed_where_they_are_looked_for():
+def test_search_starts_at_the_servers_that_placement_uses():
     node = balancer(servers=44)
     for port in range(40001, 40060):
         host = open_flow(node, port=port)
@@ -70,7 +70,7 @@
         assert host in asked_agents(other.on_caller(lost, 0.0))
 
 
-def test_a_flow_that_every_agent_denies_is_reset():
+def test_flow_reported_absent_by_every_agent_is_reset():
     node = balancer(servers=2)
     lost = request(data=b"x", ack=77)
     node.on_caller(lost, 0.0)
@@ -80,8 +80,8 @@
     assert CODEC.decode_answer(effect.datagram).seq == 77
 
 
-def test_a_server_that_another_balancer_knew_first_is_asked_before_a_reset():
-    """The flow was opened there 0.4 s before its entry was known here."""
+def test_newly_known_server_is_queried_before_a_reset():
+    """Another balancer opened the flow 0.4 s before the entry came here."""
     node = balancer(servers=1)
     lost = request(data=b"x", ack=77)
     node.on_caller(lost, 0.0)
@@ -94,7 +94,7 @@
     assert not resets(effects)
 
 
-def test_no_reset_while_an_agent_is_silent_and_may_come_back():
+def test_no_reset_while_an_agent_is_restarting():
     node = balancer(servers=2)
     lost = request(data=b"x")
     node.on_caller(lost, 0.0)
@@ -106,7 +106,7 @@
     assert not resets(effects)
 
 
-def test_an_unsure_agent_gets_one_packet_to_find_out():
+def test_unsure_agent_gets_one_sample_packet():
     node = balancer(servers=2)
     lost = request(data=b"x")
     node.on_caller(lost, 0.0)
@@ -117,8 +117,11 @@
     assert (host, notes.kind_of(segment.note)) == ("10.0.0.2", NoteKind.TRY)
 
 
-def test_silence_of_an_agent_that_was_tried_is_no_find():
-    """A living flow was taken to be at a host that was leaving, and reset."""
+def test_silence_after_a_sample_packet_does_not_locate_the_flow():
+    """Guards against the reset of an open flow.
+
+    Silence must not place the flow at a host whose server is draining.
+    """
     node = balancer(servers=2)
     lost = request(data=b"x")
     node.on_caller(lost, 0.0)
@@ -132,7 +135,7 @@
     assert node.board.flows[lost.flow].server.entry.server_id == "s2"
 
 
-def test_a_returned_packet_starts_a_search_elsewhere():
+def test_returned_packet_starts_a_search_at_other_agents():
     node = balancer()
     host = open_flow(node)
     data = request(data=b"x")
@@ -144,8 +147,8 @@
     assert host not in asked
 
 
-def deny_everywhere(node, lost, now, servers=2):
-    """Lets every agent deny a flow; returns the last effects."""
+def report_absent_everywhere(node, lost, now, servers=2):
+    """Reports a flow absent from every agent; returns the last effects."""
     effects = node.on_caller(lost, now)
     for number in range(1, servers + 1):
         host = f"10.0.0.{number}"
@@ -154,7 +157,7 @@
 
 
 def confirm(node, confirmed, now):
-    """Brings the outcome of a confirmation."""
+    """Completes a confirmation; returns the effects."""
     if confirmed:
         node.finder.on_view_confirmed(now)
     else:
@@ -166,31 +169,31 @@
     return [item for item in effects if isinstance(item, ConfirmView)]
 
 
-def test_a_denied_flow_is_reset_once_the_platform_has_confirmed_the_list():
-    """After a power loss callers waited 0.7 s more for each dead flow."""
+def test_absent_flow_is_reset_once_the_server_list_is_confirmed():
+    """Without it, callers wait 0.7 s more for each lost flow."""
     node = balancer(servers=2)
     lost = request(data=b"x", ack=77)
-    effects = deny_everywhere(node, lost, 5.0)
+    effects = report_absent_everywhere(node, lost, 5.0)
     assert len(confirms(effects)) == 1
     assert not resets(effects)
     assert len(resets(confirm(node, True, 5.008))) == 1
 
 
-def test_a_server_that_a_confirmation_brings_is_asked_before_a_reset():
+def test_server_found_by_a_confirmation_is_queried_before_a_reset():
     node = balancer(servers=2)
     lost = request(data=b"x")
-    deny_everywhere(node, lost, 5.0)
+    report_absent_everywhere(node, lost, 5.0)
     node.fleet.on_entry(entry(3), 5, 5.008)
     effects = confirm(node, True, 5.008)
     assert not resets(effects)
     assert asked_agents(effects) == ["10.0.0.3"]
 
 
-def test_a_confirmation_asked_for_before_the_packet_came_proves_nothing():
+def test_confirmation_requested_before_the_search_is_not_used():
     node = balancer(servers=2)
-    deny_everywhere(node, request(data=b"x"), 5.0)
+    report_absent_everywhere(node, request(data=b"x"), 5.0)
     later = request(data=b"x", port=40002)
-    assert not confirms(deny_everywhere(node, later, 5.004))
+    assert not confirms(report_absent_everywhere(node, later, 5.004))
     effects = confirm(node, True, 5.008)
     assert len(resets(effects)) == 1
     assert later.flow in node.board.searches
@@ -199,79 +202,79 @@
 
 
 @pytest.mark.parametrize("failed_at", [3.5, 4.9])
-def test_entries_may_have_lapsed_while_the_store_was_away(failed_at):
+def test_no_confirmation_soon_after_a_store_failure(failed_at):
     node = balancer(servers=2)
     node.board.store_failed_at = failed_at
     lost = request(data=b"x")
-    assert not confirms(deny_everywhere(node, lost, 5.0))
+    assert not confirms(report_absent_everywhere(node, lost, 5.0))
     assert not resets(node.tick(5.3))
     assert len(resets(node.tick(5.002 + UNCONFIRMED_RESET_DELAY_S))) == 1
 
 
-def test_a_balancer_that_has_just_started_may_miss_a_lapsed_server():
+def test_no_confirmation_soon_after_the_balancer_started():
     node = balancer(servers=2, now=4.0)
-    assert not confirms(deny_everywhere(node, request(data=b"x"), 5.0))
+    assert not confirms(report_absent_everywhere(node, request(data=b"x"), 5.0))
 
 
-def test_a_service_that_has_started_anew_holds_nothing_old():
+def test_confirmation_suffices_after_a_restart_of_the_whole_service():
     node = make_balancer("a", CODEC, "seed")
     node.fleet.tables.on_table(crafting.table(), 1)
     entries = [(entry(n, warm_in_s=2.0), 1) for n in (1, 2)]
     node.fleet.on_listing(entries, 1, 4.0)
-    assert confirms(deny_everywhere(node, request(data=b"x"), 5.0))
+    assert confirms(report_absent_everywhere(node, request(data=b"x"), 5.0))
 
 
-def test_a_service_that_started_anew_and_is_warm_holds_nothing_old():
-    """Callers waited 3.3 s for a reset where balancers start slowly."""
+def test_confirmation_suffices_when_the_restarted_service_is_warm():
+    """Otherwise callers wait 3.3 s for a reset where balancers start slowly."""
     node = make_balancer("a", CODEC, "seed")
     node.fleet.tables.on_table(crafting.table(), 1)
     entries = [(entry(n, warm_in_s=0.7), 1) for n in (1, 2)]
     node.fleet.on_listing(entries, 1, 4.0)
     for number in (1, 2):
         node.fleet.on_entry(entry(number, warm_in_s=0.0), 2, 4.8)
-    assert confirms(deny_everywhere(node, request(data=b"x"), 5.0))
+    assert confirms(report_absent_everywhere(node, request(data=b"x"), 5.0))
 
 
-def test_one_old_server_may_have_company_that_is_not_listed():
+def test_no_confirmation_if_one_server_did_not_restart():
     node = make_balancer("a", CODEC, "seed")
     node.fleet.tables.on_table(crafting.table(), 1)
     entries = [(entry(1), 1), (entry(2, warm_in_s=2.0), 1)]
     node.fleet.on_listing(entries, 1, 4.0)
-    assert not confirms(deny_everywhere(node, request(data=b"x"), 5.0))
+    assert not confirms(report_absent_everywhere(node, request(data=b"x"), 5.0))
 
 
-def test_unsure_agents_are_tried_all_at_once():
-    """One after the other, 98 of them took 98 round trips."""
+def test_all_unsure_agents_get_a_sample_at_once():
+    """Sent one after the other, samples to 98 agents take 98 round trips."""
     node = balancer(servers=8)
     lost = request(data=b"x" * 300, ack=77)
     node.on_caller(lost, 5.0)
     node.on_caller(request(seq=300), 5.001)
     node.on_caller(request(data=b"y", seq=300), 5.001)
-    tried = []
+    sampled = []
     for number in range(1, 9):
         host = f"10.0.0.{number}"
         effects = tell_flow(node, host, lost, NoteKind.UNSURE, 5.002)
-        tried += tried_agents(effects)
-    kinds = {notes.kind_of(segment.note) for _, segment in tried}
-    assert (len(tried), kinds) == (8, {NoteKind.TRY})
-    assert {segment.size for _, segment in tried} == {1}
+        sampled += tried_agents(effects)
+    kinds = {notes.kind_of(segment.note) for _, segment in sampled}
+    assert (len(sampled), kinds) == (8, {NoteKind.TRY})
+    assert {segment.size for _, segment in sampled} == {1}
     effects = []
-    for host, segment in tried:
+    for host, segment in sampled:
         effects = tell_outcome(node, host, segment, 5.004)
     assert confirms(effects)
     assert len(resets(confirm(node, True, 5.01))) == 1
 
 
-def test_a_confirmation_that_fails_leaves_the_wait():
+def test_failed_confirmation_leaves_the_reset_delay():
     node = balancer(servers=2)
     lost = request(data=b"x")
-    deny_everywhere(node, lost, 5.0)
+    report_absent_everywhere(node, lost, 5.0)
     assert not resets(confirm(node, False, 5.5))
     assert len(resets(node.tick(5.002 + UNCONFIRMED_RESET_DELAY_S))) == 1
 
 
-def test_a_found_flow_keeps_what_its_request_wishes_for():
-    """Without its objective a request counted as late from the start."""
+def test_found_flow_keeps_its_request_hints():
+    """Without its latency objective a request counts as late at once."""
     node = balancer()
     lost = request(data=b"x", ack=77)
     node.on_caller(lost, 0.0)
--- a/notchhoist/flows/balancer/tests/test_lives.py
+++ b/notchhoist/flows/balancer/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""A balancer that has started again, and answers to its former life."""
+"""A restarted balancer gets answers to queries from before its restart."""
 
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model.effects import SendPeer
@@ -10,7 +10,7 @@
 NOW = 5.0
 
 
-def life(number):
+def balancer_incarnation(number):
     node = make_balancer("a", CODEC, f"life {number}", "10.9.0.1", SEEDS)
     node.fleet.tables.on_table(crafting.table(), 1)
     node.fleet.on_listing([(entry(1), 1)], 1, 0.0)
@@ -25,24 +25,25 @@
     ]
 
 
-def test_answers_to_questions_of_a_former_life_are_not_taken_for_ours():
-    """Both lives counted from 1: an answer to the former ended our question.
+def test_answer_to_a_query_before_the_restart_is_ignored():
+    """Guards against numbering queries from 1 after each start.
 
-    The agent was never asked about our flow.
+    An answer to the former incarnation would then complete a query of the new
+    one, and the agent would never be queried about the new flow.
     """
-    former, node = life(1), life(2)
+    former, node = balancer_incarnation(1), balancer_incarnation(2)
     [old] = asked(former.on_caller(request(data=b"x", port=7), NOW), FlowsAsk)
     ours = request(data=b"x", port=8)
-    [question] = asked(node.on_caller(ours, NOW), FlowsAsk)
-    assert question.number != old.number
+    [query] = asked(node.on_caller(ours, NOW), FlowsAsk)
+    assert query.number != old.number
     node.on_peer("10.0.0.1", FlowsTell(old.number), NOW)
-    [line] = node.finder.questions.lines.values()
-    assert ours.flow in line.headers
+    [queue] = node.finder.questions.lines.values()
+    assert ours.flow in queue.headers
 
 
-def test_views_told_to_a_former_life_are_not_taken_for_fresh():
-    """The tell may be older than our question with the same number."""
-    former, node = life(1), life(2)
+def test_view_queries_use_other_numbers_after_a_restart():
+    """An update may be older than the new query with the same number."""
+    former, node = balancer_incarnation(1), balancer_incarnation(2)
     old = {ask.number for ask in asked(former.tick(NOW), ViewAsk)}
     new = {ask.number for ask in asked(node.tick(NOW), ViewAsk)}
     assert old
--- a/notchhoist/flows/balancer/tests/test_questions.py
+++ b/notchhoist/flows/balancer/tests/test_questions.py
@@ -1,4 +1,4 @@
-"""Questions about flows: one at a time to each agent, whatever is asked."""
+"""Queries about flows: at most one in flight to each agent."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,7 +19,7 @@
 HOST = "10.0.0.1"
 
 
-def questions(effects):
+def queries_to_host(effects):
     return [
         effect.message
         for effect in effects
@@ -29,67 +29,70 @@
     ]
 
 
-def lost_flow(number):
+def unknown_flow_packet(number):
     return request(data=b"x", port=40000 + number)
 
 
-def test_a_hundred_unknown_flows_are_few_questions():
-    """A hundred dead flows at a hundred agents were 20,000 packets."""
+def test_hundred_unknown_flows_need_few_queries():
+    """Without batches, 100 lost flows at 100 agents cause 20,000 packets."""
     node = balancer(servers=3)
     asked = []
     for number in range(100):
-        asked += questions(node.on_caller(lost_flow(number), 0.0))
+        asked += queries_to_host(
+            node.on_caller(unknown_flow_packet(number), 0.0)
+        )
     assert len(asked) == 1
     heads = 0
     while asked:
-        question = asked.pop()
-        heads += len(question.heads)
-        assert sum(len(head) for head in question.heads) <= QUERY_BYTES_MAX
-        flows = [CODEC.decode_request(head).flow for head in question.heads]
-        tell = FlowsTell(question.number, absent=tuple(flows))
-        asked += questions(node.on_peer(HOST, tell, 0.01))
+        query = asked.pop()
+        heads += len(query.heads)
+        assert sum(len(head) for head in query.heads) <= QUERY_BYTES_MAX
+        flows = [CODEC.decode_request(head).flow for head in query.heads]
+        tell = FlowsTell(query.number, absent=tuple(flows))
+        asked += queries_to_host(node.on_peer(HOST, tell, 0.01))
     assert heads == 100
     assert node.board.records.counters[Count.QUESTIONS] <= 3 * 5
 
 
-def test_a_silent_agent_is_asked_less_and_less():
+def test_retries_to_a_silent_agent_back_off():
     node = balancer(servers=1)
-    node.on_caller(lost_flow(1), 0.0)
-    ask = node.finder.questions
+    node.on_caller(unknown_flow_packet(1), 0.0)
+    flow_queries = node.finder.questions
     sent = 0
     for step in range(1, 200):
         now = 0.01 * step
-        ask.query([HOST], TAG, lost_flow(1), now)
-        ask.tick(now)
-        sent += len(questions(node.take_effects()))
+        flow_queries.query([HOST], TAG, unknown_flow_packet(1), now)
+        flow_queries.tick(now)
+        sent += len(queries_to_host(node.take_effects()))
     assert sent <= 2 + 2.0 / RETRY_DELAY_MAX_S + 2
 
 
-def test_an_answer_that_comes_after_the_repeat_counts():
-    """On a full link each came too late for its question and was passed over.
+def test_answer_after_a_retry_is_accepted():
+    """Guards against ignoring answers that arrive after a retry.
 
-    A balancer heard agents all the time and found out nothing for 3.6 s.
+    On a saturated link every answer was late in this way, and a balancer that
+    received them all located no flow for 3.6 s.
     """
     node = balancer(servers=1)
-    [question] = questions(node.on_caller(lost_flow(1), 0.0))
+    [query] = queries_to_host(node.on_caller(unknown_flow_packet(1), 0.0))
     repeats = []
     for step in range(1, 36):
-        repeats += questions(node.tick(0.01 * step))
+        repeats += queries_to_host(node.tick(0.01 * step))
     assert len(repeats) >= 2
-    lost = lost_flow(1).flow
-    node.on_peer(HOST, FlowsTell(question.number, absent=(lost,)), 0.36)
+    lost = unknown_flow_packet(1).flow
+    node.on_peer(HOST, FlowsTell(query.number, absent=(lost,)), 0.36)
     assert node.board.searches[lost].denied_at == 0.36
 
 
-def test_an_answer_to_an_earlier_search_proves_nothing():
-    """The flow may have been opened between the two."""
+def test_answer_to_an_earlier_search_is_ignored():
+    """The flow may have been opened between the two searches."""
     node = balancer(servers=1)
-    lost = lost_flow(1)
-    [question] = questions(node.on_caller(lost, 0.0))
+    lost = unknown_flow_packet(1)
+    [query] = queries_to_host(node.on_caller(lost, 0.0))
     node.finder.questions.forget(lost.flow, {HOST}, TAG)
     del node.board.searches[lost.flow]
     node.on_caller(lost, 0.05)
-    node.on_peer(HOST, FlowsTell(question.number, absent=(lost.flow,)), 0.06)
+    node.on_peer(HOST, FlowsTell(query.number, absent=(lost.flow,)), 0.06)
     search = node.board.searches[lost.flow]
     assert search.unanswered == {HOST}
     assert search.denied_at is None
@@ -101,24 +104,26 @@
         max_size=120,
     )
 )
-def test_questions_are_bounded_by_answers_and_time(steps):
-    """Own traffic is bounded: one question an answer, or a repeat pause."""
+def test_queries_are_bounded_by_answers_and_time(steps):
+    """Each answer and each retry delay allow a limited number of queries."""
     node = balancer(servers=1)
-    now, sent, answers, under_way = 0.0, 0, 0, None
+    now, sent, answers, in_flight = 0.0, 0, 0, None
     for pause, number, answered in steps:
         now += pause
-        effects = node.on_caller(lost_flow(number), now) + node.tick(now)
-        if answered and under_way is not None:
+        effects = node.on_caller(unknown_flow_packet(number), now) + node.tick(
+            now
+        )
+        if answered and in_flight is not None:
             answers += 1
-            tell = FlowsTell(under_way.number)
+            tell = FlowsTell(in_flight.number)
             effects += node.on_peer(HOST, tell, now)
-        found = questions(effects)
-        sent += len(found)
-        under_way = found[-1] if found else under_way
+        new = queries_to_host(effects)
+        sent += len(new)
+        in_flight = new[-1] if new else in_flight
     assert sent <= 1 + 2 * answers + now / RETRY_DELAY_S
 
 
-def test_an_agent_answers_about_several_flows_at_once():
+def test_agent_answers_about_several_flows_at_once():
     node = agents.agent()
     agents.accept(node, 1)
     agents.ask(node, 1)
@@ -131,7 +136,7 @@
     assert (tell.number, len(tell.present), len(tell.absent)) == (7, 1, 2)
 
 
-def test_samples_go_to_the_server_and_their_outcomes_are_gathered():
+def test_samples_go_to_the_server_and_outcomes_are_batched():
     node = agents.agent(known=False)
     lost = [request(data=b"x", port=port) for port in (2, 3)]
     samples = tuple(segment.raw for segment in lost)
@@ -145,7 +150,7 @@
     assert set(effect.message.absent) == {segment.flow for segment in lost}
 
 
-def test_bad_packets_in_a_question_are_counted():
+def test_malformed_packets_in_a_query_are_counted():
     node = agents.agent()
     ask = FlowsAsk(7, TAG, (b"short",), (b"also",))
     [effect] = node.on_peer("10.0.1.1", ask, START)
@@ -153,11 +158,11 @@
     assert node.board.records.counters["malformed"] == 2
 
 
-def test_an_agent_that_is_heard_again_is_asked_again_at_once():
-    """Agents that started after a balancer were asked 0.8 s later."""
+def test_query_is_retried_at_once_when_the_agent_is_heard():
+    """Otherwise an agent that starts later is queried up to 0.8 s later."""
     node = balancer(servers=1)
-    node.on_caller(lost_flow(1), 0.0)
+    node.on_caller(unknown_flow_packet(1), 0.0)
     for step in range(1, 16):
         node.tick(0.1 * step)
     node.on_peer(HOST, LoadTell(0, 0, 0, False), 1.51)
-    assert questions(node.tick(1.515))
+    assert queries_to_host(node.tick(1.515))
--- a/notchhoist/flows/balancer/tests/test_resting.py
+++ b/notchhoist/flows/balancer/tests/test_resting.py
@@ -1,4 +1,4 @@
-"""A balancer looks after flows that rest where a server may have ended."""
+"""A balancer rechecks idle flows at servers that may have exited."""
 
 import collections
 
@@ -19,7 +19,7 @@
 
 
 class Fleet:
-    """A balancer with one flow that rests, and agents that answer."""
+    """A balancer with one idle flow, and agents that answer."""
 
     def __init__(self):
         self.node = balancer()
@@ -48,7 +48,7 @@
                     self.node.on_peer(host, load, self.now)
 
 
-def test_agents_are_asked_where_flows_rest_and_nowhere_else():
+def test_only_agents_with_idle_flows_are_probed():
     fleet = Fleet()
     fleet.run(5.0)
     assert set(fleet.asked) == {fleet.host}
@@ -57,7 +57,7 @@
     assert not any(idle.tick(tenths / 10) for tenths in range(50))
 
 
-def test_the_flows_of_a_replaced_server_are_tried_by_a_few_copies():
+def test_flows_of_a_replaced_server_get_a_few_copies():
     fleet = Fleet()
     fleet.run(5.0)
     newer = entry(fleet.number, server_id="new", created=9)
@@ -68,7 +68,7 @@
     assert kinds == {NoteKind.HELD}
 
 
-def test_an_entry_that_vanishes_again_brings_copies_again():
+def test_each_removal_of_an_entry_causes_new_copies():
     fleet = Fleet()
     server_id = f"s{fleet.number}"
     for revision in (6, 8):
@@ -80,8 +80,8 @@
     assert len(fleet.sent) == 2 * COPIES_PER_CAUSE
 
 
-def replaced_with(extra):
-    """A fleet with more flows at the same server, which has been replaced."""
+def fleet_with_replaced_server(extra):
+    """A fleet with more flows at the same server, which was replaced."""
     fleet = Fleet()
     [first] = fleet.node.board.flows.values()
     for port in range(1, extra + 1):
@@ -96,9 +96,9 @@
     return fleet
 
 
-def test_all_flows_of_a_replaced_server_are_tried_equally_often():
-    """The same 50 were tried three times, and the others never."""
-    fleet = replaced_with(299)
+def test_all_flows_of_a_replaced_server_get_equally_many_copies():
+    """Guards against sending all copies for the first batch of 50 flows."""
+    fleet = fleet_with_replaced_server(299)
     tries = collections.Counter(segment.flow for _, segment in fleet.sent)
     assert len(tries) == 300
     assert set(tries.values()) == {COPIES_PER_CAUSE}
@@ -106,16 +106,16 @@
     assert counters[Count.SEARCHED_AT_REST] == 300 * COPIES_PER_CAUSE
 
 
-def test_more_flows_than_one_look_walks_are_tried_too(monkeypatch):
+def test_scan_of_several_slices_reaches_all_flows(monkeypatch):
     monkeypatch.setattr(resting, "FLOWS_PER_CHECK", 30)
-    walked = replaced_with(99)
-    tries = collections.Counter(segment.flow for _, segment in walked.sent)
+    fleet = fleet_with_replaced_server(99)
+    tries = collections.Counter(segment.flow for _, segment in fleet.sent)
     assert len(tries) == 100
     assert set(tries.values()) == {COPIES_PER_CAUSE}
 
 
-def test_one_look_walks_a_bounded_number_of_flows(monkeypatch):
-    """Each look walked all flows, up to 200,000 of them twice a second."""
+def test_one_check_scans_a_bounded_number_of_flows(monkeypatch):
+    """Scanning up to 200,000 flows twice a second blocks the process."""
     asked = []
     is_open = resting._is_open
     monkeypatch.setattr(
@@ -131,7 +131,7 @@
     assert len(asked) == resting.FLOWS_PER_CHECK + 11
 
 
-def test_each_replacement_under_one_id_brings_copies():
+def test_each_replacement_under_one_id_causes_new_copies():
     fleet = Fleet()
     fleet.run(5.0)
     for created in (9, 10):
@@ -143,7 +143,7 @@
     assert len(fleet.sent) == 2 * COPIES_PER_CAUSE
 
 
-def test_out_of_use_nothing_is_kept_of_replaced_servers():
+def test_disabled_mechanism_tracks_no_replaced_servers():
     fleet = Fleet()
     board = fleet.node.board
     board.uses = board.uses.without(["resting"])
@@ -162,7 +162,7 @@
         (False, FOREVER, 0.0, FOREVER),
     ],
 )
-def test_when_a_server_has_ended_along_with_its_agent(
+def test_when_a_server_and_its_agent_count_as_exited(
     announced, unlisted_at, failed_at, ends_at
 ):
     server = Server(entry(1, draining=announced), 1, 0.0)
--- a/notchhoist/flows/balancer/tests/test_settled.py
+++ b/notchhoist/flows/balancer/tests/test_settled.py
@@ -1,6 +1,7 @@
-"""A failing store hides no server from a balancer that has known the list.
+"""A store failure hides no server from a balancer with a stable server list.
 
-Dead flows were told 0.8 s after their packet whenever it had failed just now.
+Guards against a delayed reset of lost flows: 0.8 s after their packet whenever
+the store had failed just before.
 """
 
 import pytest
@@ -21,8 +22,8 @@
 NOW = 10.0
 
 
-def settled(at=RETURN_S):
-    """A balancer that knew the list for a while before the store failed."""
+def stable_list_balancer(at=RETURN_S):
+    """A balancer that had known the server list before the store failed."""
     node = balancer(servers=2)
     node.tick(at)
     node.board.store_failed_at = FAILED_AT
@@ -36,15 +37,15 @@
     return any(isinstance(item, ConfirmView) for item in effects)
 
 
-def test_a_dead_flow_is_told_with_the_first_confirmation():
-    node = settled()
+def test_absent_flow_is_reset_with_the_first_confirmation():
+    node = stable_list_balancer()
     assert wants_confirmation(node)
     node.finder.on_view_confirmed(NOW + 0.05)
     assert len(resets(node.take_effects())) == 1
 
 
-def test_nothing_is_told_before_the_store_has_confirmed():
-    node = settled()
+def test_no_reset_before_the_store_has_confirmed():
+    node = stable_list_balancer()
     assert wants_confirmation(node)
     node.finder.confirmer.on_failed(NOW + 0.05)
     assert not resets(node.tick(NOW + 0.1))
@@ -52,8 +53,8 @@
     assert any(isinstance(item, ConfirmView) for item in effects)
 
 
-def test_a_store_that_goes_on_failing_is_asked_less_and_less():
-    """Hundreds of balancers asked it five times a second each."""
+def test_confirmations_back_off_while_the_store_fails():
+    """Otherwise each of hundreds of balancers sends five calls a second."""
     confirmer = balancer().finder.confirmer
     now, pauses = NOW, []
     for _ in range(5):
@@ -71,23 +72,23 @@
     assert confirmer.due() - now == pytest.approx(CONFIRM_BACKOFF_S)
 
 
-def test_a_list_that_was_never_calm_may_lack_a_lapsed_server():
-    assert not wants_confirmation(settled(at=RETURN_S - 0.1))
+def test_list_known_too_briefly_is_not_stable():
+    assert not wants_confirmation(stable_list_balancer(at=RETURN_S - 0.1))
 
 
-def test_a_list_that_is_read_anew_may_lack_what_came_and_lapsed():
-    node = settled()
+def test_list_that_was_read_again_is_not_stable():
+    node = stable_list_balancer()
     node.fleet.on_listing([(entry(1), 1), (entry(2), 1)], 9, 9.0)
     assert not wants_confirmation(node)
 
 
-def test_a_server_that_came_and_went_unseen_may_live():
-    node = settled()
+def test_list_is_not_stable_after_the_removal_of_an_unknown_server():
+    node = stable_list_balancer()
     node.fleet.on_removed("never seen", 9, 9.0)
     assert not wants_confirmation(node)
 
 
-def test_out_of_use_a_failure_counts_again():
-    node = settled()
+def test_disabled_mechanism_lets_a_store_failure_prevent_confirmation():
+    node = stable_list_balancer()
     node.board.uses = ALL.without(["resting"])
     assert not wants_confirmation(node)
--- a/notchhoist/flows/balancer/tests/test_splits.py
+++ b/notchhoist/flows/balancer/tests/test_splits.py
@@ -1,4 +1,4 @@
-"""A balancer: flows of routes that split, or did, are found or left alone."""
+"""A balancer searches for flows of routes that split now or did recently."""
 
 import pytest
 
@@ -35,12 +35,12 @@
 LOST = request(data=b"x", seq=500, ack=900)
 
 
-def split(*targets, port=crafting.SERVICE_PORT):
+def split_route(*targets, port=crafting.SERVICE_PORT):
     return crafting.route(targets=targets, port=port)
 
 
 def balancer(*routes, services=(OLD, NEW, THIRD), now=-100.0):
-    """A balancer with one server of each service; it has just read them."""
+    """A balancer with one server of each service, just read from the store."""
     node = make_balancer("a", CODEC, "seed")
     node.fleet.tables.on_table(crafting.table(routes=list(routes)), 1)
     entries = [
@@ -51,13 +51,17 @@
     return node
 
 
-def change(node, *routes, version=2, now=1.0):
+def change_routes(node, *routes, version=2, now=1.0):
     node.fleet.tables.on_table(crafting.table(version, list(routes)), version)
     node.on_published(now)
 
 
-def search(node, deny=(), now=2.0):
-    """Looks for a lost flow; the named hosts deny. Returns the last effects."""
+def search_lost_flow(node, deny=(), now=2.0):
+    """Searches for a lost flow; the given hosts report it absent.
+
+    Returns:
+        The last effects, and the hosts that were queried.
+    """
     effects = node.on_caller(LOST, now)
     asked = asked_agents(effects)
     for host in deny:
@@ -66,7 +70,7 @@
     return effects, asked
 
 
-def tags(effects):
+def queried_tags(effects):
     return {
         effect.host: effect.message.tag
         for effect in effects
@@ -74,56 +78,58 @@
     }
 
 
-def test_a_flow_that_outlived_a_change_of_weights_is_found_and_served():
-    """A balancer that has just started knows today's weights only."""
-    node = balancer(split((OLD, 0), (NEW, 1)))
-    effects, asked = search(node, [NEW_HOST])
+def test_flow_older_than_a_weight_change_is_found():
+    """A balancer that has just started knows only the current weights."""
+    node = balancer(split_route((OLD, 0), (NEW, 1)))
+    effects, asked = search_lost_flow(node, [NEW_HOST])
     assert asked == [NEW_HOST, OLD_HOST]
-    assert tags(effects) == {OLD_HOST: service_tag(OLD)}
+    assert queried_tags(effects) == {OLD_HOST: service_tag(OLD)}
     effects = tell_flow(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
     [(host, segment)] = packets(effects)
     assert (host, notes.tag_of(segment)) == (OLD_HOST, service_tag(OLD))
 
 
-def test_its_agent_takes_the_packet_of_a_rejoined_flow():
-    node = balancer(split((OLD, 0), (NEW, 1)))
-    search(node, [NEW_HOST])
+def test_agent_accepts_the_packet_of_a_resumed_flow():
+    node = balancer(split_route((OLD, 0), (NEW, 1)))
+    search_lost_flow(node, [NEW_HOST])
     effects = tell_flow(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
     [sent] = [item for item in effects if isinstance(item, SendAgent)]
-    beside = agent(known=False)
-    beside.on_balancer("10.0.1.1", CODEC.decode_request(sent.datagram), 100.0)
-    assert beside.board.records.counters["wrong_service"] == 0
+    agent_node = agent(known=False)
+    agent_node.on_balancer(
+        "10.0.1.1", CODEC.decode_request(sent.datagram), 100.0
+    )
+    assert agent_node.board.records.counters["wrong_service"] == 0
 
 
-def test_an_unsure_agent_of_another_service_is_tried_by_its_own_tag():
-    node = balancer(split((OLD, 0), (NEW, 1)))
-    search(node, [NEW_HOST])
+def test_sample_to_an_agent_of_another_service_has_its_own_tag():
+    node = balancer(split_route((OLD, 0), (NEW, 1)))
+    search_lost_flow(node, [NEW_HOST])
     effects = tell_flow(node, OLD_HOST, LOST, NoteKind.UNSURE, 2.02)
     [(host, segment)] = tried_agents(effects)
     assert (host, notes.tag_of(segment)) == (OLD_HOST, service_tag(OLD))
-    assert tags(effects)[OLD_HOST] == service_tag(OLD)
+    assert queried_tags(effects)[OLD_HOST] == service_tag(OLD)
     assert not resets(tell_outcome(node, OLD_HOST, segment, 2.03))
 
 
-def test_a_flow_is_dead_only_where_no_service_holds_it():
-    node = balancer(split((OLD, 1), (NEW, 1)), services=(OLD, NEW))
-    search(node, [OLD_HOST])
+def test_flow_is_reset_only_if_absent_at_every_service():
+    node = balancer(split_route((OLD, 1), (NEW, 1)), services=(OLD, NEW))
+    search_lost_flow(node, [OLD_HOST])
     assert not resets(node.tick(2.01 + UNCONFIRMED_RESET_DELAY_S))
     tell_flow(node, NEW_HOST, LOST, NoteKind.ABSENT, 2.8)
     assert len(resets(node.tick(2.8 + UNCONFIRMED_RESET_DELAY_S))) == 1
 
 
-def test_where_any_route_splits_all_agents_are_asked_before_a_reset():
-    """The flow's own route may have split until a moment ago."""
-    other = split((OLD, 1), (THIRD, 1), port=444)
-    node = balancer(split((NEW, 1)), other)
-    _, asked = search(node, [NEW_HOST])
+def test_all_agents_are_queried_before_a_reset_while_any_route_splits():
+    """The flow's own route may have split until recently."""
+    other = split_route((OLD, 1), (THIRD, 1), port=444)
+    node = balancer(split_route((NEW, 1)), other)
+    _, asked = search_lost_flow(node, [NEW_HOST])
     assert asked == [NEW_HOST, OLD_HOST, THIRD_HOST]
 
 
-def test_without_splits_one_service_is_asked():
-    node = balancer(split((NEW, 1)), split((OLD, 1), port=444))
-    effects, asked = search(node, [NEW_HOST])
+def test_without_split_routes_one_service_is_queried():
+    node = balancer(split_route((NEW, 1)), split_route((OLD, 1), port=444))
+    effects, asked = search_lost_flow(node, [NEW_HOST])
     assert asked == [NEW_HOST]
     assert (
         len(resets(effects + node.tick(2.01 + UNCONFIRMED_RESET_DELAY_S))) == 1
@@ -138,77 +144,81 @@
         (((OLD, 9), (THIRD, 1)), ((NEW, 1),)),
     ],
 )
-def test_a_former_service_is_asked_as_long_as_a_flow_may_live(before, after):
-    node = balancer(split(*before), services=(OLD, NEW))
-    change(node, split(*after))
-    assert search(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
-    later = balancer(split(*before), services=(OLD, NEW))
-    change(later, split(*after))
-    assert search(later, [NEW_HOST], 1.1 + KEPT_S)[1] == [NEW_HOST]
+def test_former_service_is_queried_within_the_flow_lifetime(before, after):
+    node = balancer(split_route(*before), services=(OLD, NEW))
+    change_routes(node, split_route(*after))
+    assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
+    later = balancer(split_route(*before), services=(OLD, NEW))
+    change_routes(later, split_route(*after))
+    assert search_lost_flow(later, [NEW_HOST], 1.1 + KEPT_S)[1] == [NEW_HOST]
 
 
-def test_a_change_back_and_a_storm_are_remembered():
-    node = balancer(split((NEW, 1)), services=(OLD, NEW))
+def test_many_route_changes_and_a_reversal_are_remembered():
+    node = balancer(split_route((NEW, 1)), services=(OLD, NEW))
     for version in range(2, 12):
         targets = ((OLD, 1),) if version % 2 else ((NEW, 1),)
-        change(node, split(*targets), version=version, now=0.1 * version)
-    change(node, split((NEW, 1)), version=12, now=1.3)
-    assert search(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
-
-
-def test_a_balancer_that_has_just_started_hears_of_a_former_split():
-    elder = balancer(split((OLD, 1), (NEW, 1)), services=(OLD, NEW))
-    change(elder, split((NEW, 1)), now=-10.0)
-    effects = elder.on_peer("10.0.9.9", ViewAsk(0, number=1), 1.0)
-    [told] = [
+        change_routes(
+            node, split_route(*targets), version=version, now=0.1 * version
+        )
+    change_routes(node, split_route((NEW, 1)), version=12, now=1.3)
+    assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
+
+
+def test_started_balancer_learns_of_a_former_split():
+    older = balancer(split_route((OLD, 1), (NEW, 1)), services=(OLD, NEW))
+    change_routes(older, split_route((NEW, 1)), now=-10.0)
+    effects = older.on_peer("10.0.9.9", ViewAsk(0, number=1), 1.0)
+    [update] = [
         item.message
         for item in effects
         if isinstance(item, SendPeer) and isinstance(item.message, ViewTell)
     ]
-    told = decode_message(encode_message(told))
-    assert told.rerouted_for_ms == 11_000
+    update = decode_message(encode_message(update))
+    assert update.rerouted_for_ms == 11_000
     node = make_balancer("a", CODEC, "seed")
-    node.on_peer("10.0.9.1", told, 1.001)
-    assert search(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
+    node.on_peer("10.0.9.1", update, 1.001)
+    assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
 
 
-def test_pieces_of_a_view_that_is_known_tell_of_former_routes_too():
-    """A balancer that had read the store itself passed them over."""
-    node = balancer(split((NEW, 1)), services=(OLD, NEW))
-    beside = {"placing_for_ms": 300_000, "rerouted_for_ms": 900}
-    piece = ViewPiece(1, 0, 0.1, (), 0, 2, b"half", asked=1, **beside)
+def test_pieces_of_a_known_view_still_report_former_routes():
+    """Guards against ignoring them in a balancer that reads the store."""
+    node = balancer(split_route((NEW, 1)), services=(OLD, NEW))
+    ages = {"placing_for_ms": 300_000, "rerouted_for_ms": 900}
+    piece = ViewPiece(1, 0, 0.1, (), 0, 2, b"half", asked=1, **ages)
     node.on_peer("10.0.9.1", piece, 1.0)
     assert not node.sharer.pieces.incoming
     assert node.board.placing_since == -299.0
-    assert search(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
+    assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
 
 
-def test_an_older_word_does_not_shorten_what_is_remembered():
-    node = balancer(split((OLD, 1)), services=(OLD, NEW))
-    change(node, split((NEW, 1)), now=1.0)
+def test_older_report_does_not_shorten_the_memory_of_a_change():
+    node = balancer(split_route((OLD, 1)), services=(OLD, NEW))
+    change_routes(node, split_route((NEW, 1)), now=1.0)
     tell = ViewTell(ViewChange(2, 2), 0.1, (), rerouted_for_ms=59_900)
     node.on_peer("10.0.9.1", tell, 1.5)
-    assert search(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
+    assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
 
 
-def test_a_host_whose_server_runs_another_service_meanwhile_is_asked_again():
-    node = balancer(split((OLD, 1), (NEW, 1)))
-    search(node, [OLD_HOST])
+def test_host_is_queried_again_when_its_service_changes():
+    node = balancer(split_route((OLD, 1), (NEW, 1)))
+    search_lost_flow(node, [OLD_HOST])
     moved = entry(1, service=THIRD, server_id="s9", created=9)
     node.fleet.on_entry(moved, 5, 2.02)
     effects = tell_flow(node, NEW_HOST, LOST, NoteKind.ABSENT, 2.03)
-    assert tags(effects)[OLD_HOST] == service_tag(THIRD)
+    assert queried_tags(effects)[OLD_HOST] == service_tag(THIRD)
 
 
-def test_nothing_is_asked_once_a_search_under_two_tags_has_ended():
-    """The question under the first tag was repeated for ever."""
-    node = balancer(split((OLD, 1), (NEW, 1)))
-    search(node)
+def test_no_query_remains_after_a_search_under_two_tags():
+    """Guards against endless retries of the query under the first tag."""
+    node = balancer(split_route((OLD, 1), (NEW, 1)))
+    search_lost_flow(node)
     moved = entry(1, service=THIRD, server_id="s9", created=9)
     node.fleet.on_entry(moved, 5, 2.02)
     node.tick(2.2)
-    other = split((OLD, 1), (THIRD, 1), port=444)
-    change(node, split((OLD, 1), (NEW, 1), (THIRD, 1)), other, now=2.25)
+    other = split_route((OLD, 1), (THIRD, 1), port=444)
+    change_routes(
+        node, split_route((OLD, 1), (NEW, 1), (THIRD, 1)), other, now=2.25
+    )
     ended = node.board.searches[LOST.flow]
     node.finder._query(ended, {OLD_HOST: service_tag(THIRD)}, 2.3)
     node.finder._end(LOST.flow, ended)
@@ -217,17 +227,17 @@
     assert not node.finder.questions.lines
 
 
-def test_a_service_that_is_removed_keeps_its_flows():
-    node = balancer(split((OLD, 1), (NEW, 1)), services=(OLD, NEW))
+def test_flow_of_a_removed_service_is_found():
+    node = balancer(split_route((OLD, 1), (NEW, 1)), services=(OLD, NEW))
     node.fleet.on_removed("s1", 5, 1.0)
-    change(node, split((NEW, 1)))
-    assert search(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
+    change_routes(node, split_route((NEW, 1)))
+    assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
     effects = tell_flow(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
     assert packets(effects)
 
 
-def test_a_returned_packet_is_looked_for_at_the_other_services():
-    node = balancer(split((OLD, 1), (NEW, 1)), services=(OLD, NEW))
+def test_flow_of_a_returned_packet_is_searched_at_other_services():
+    node = balancer(split_route((OLD, 1), (NEW, 1)), services=(OLD, NEW))
     [(host, _)] = packets(node.on_caller(request(flags=SYN), 2.0))
     other = NEW_HOST if host == OLD_HOST else OLD_HOST
     tell(node, host, request(flags=SYN), NoteKind.TAKEN, 2.001)
@@ -237,9 +247,9 @@
     assert asked_agents(effects) == [other]
 
 
-def test_a_flow_is_not_looked_for_at_the_service_that_took_its_address():
-    """Without splits too: its own service is asked, not the new one."""
-    node = balancer(split((OLD, 1)), services=(OLD,))
+def test_search_ignores_the_service_that_took_over_the_address():
+    """The flow's own service is queried, also without split routes."""
+    node = balancer(split_route((OLD, 1)), services=(OLD,))
     node.fleet.on_entry(entry(4, service=OLD), 2, 0.0)
     [(host, _)] = packets(node.on_caller(request(flags=SYN), 2.0))
     tell(node, host, request(flags=SYN), NoteKind.TAKEN, 2.001)
@@ -252,27 +262,27 @@
     assert node.board.by_host[asked].entry.service == OLD
 
 
-def test_wide_searches_beyond_the_bound_are_left_alone(monkeypatch):
-    """Asking everybody about everything is worse than a caller's next copy."""
+def test_wide_search_beyond_the_limit_is_given_up_without_reset(monkeypatch):
+    """Querying all agents about all flows is worse than a retransmission."""
     monkeypatch.setattr(scope, "WIDE_QUERIES_MAX", 1)
-    other = split((OLD, 1), (THIRD, 1), port=444)
-    node = balancer(split((NEW, 1)), other)
-    effects, asked = search(node, [NEW_HOST])
+    other = split_route((OLD, 1), (THIRD, 1), port=444)
+    node = balancer(split_route((NEW, 1)), other)
+    effects, asked = search_lost_flow(node, [NEW_HOST])
     assert asked == [NEW_HOST]
     assert not resets(effects + node.tick(2.01 + 2 * UNCONFIRMED_RESET_DELAY_S))
     assert LOST.flow not in node.board.searches
 
 
-def test_a_search_that_has_ended_makes_room_for_the_next():
-    other = split((OLD, 1), (THIRD, 1), port=444)
-    node = balancer(split((NEW, 1)), other)
-    search(node, [NEW_HOST])
+def test_ended_search_releases_its_query_budget():
+    other = split_route((OLD, 1), (THIRD, 1), port=444)
+    node = balancer(split_route((NEW, 1)), other)
+    search_lost_flow(node, [NEW_HOST])
     assert node.finder.scope.wide_queries == 2
     tell_flow(node, THIRD_HOST, LOST, NoteKind.PRESENT, 2.02)
     assert node.finder.scope.wide_queries == 0
 
 
-def test_out_of_use_the_search_is_narrow():
-    node = balancer(split((OLD, 0), (NEW, 1)))
+def test_disabled_mechanism_keeps_the_search_narrow():
+    node = balancer(split_route((OLD, 0), (NEW, 1)))
     node.board.uses = node.board.uses.without(["splits"])
-    assert search(node, [NEW_HOST])[1] == [NEW_HOST]
+    assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST]
