--- a/notchhoist/flows/balancer/finding.py
+++ b/notchhoist/flows/balancer/finding.py
@@ -116,8 +116,10 @@
             likely += placing.candidates(segment.flow, others, board.zone)
         hosts = {item.entry.host for item in likely if not item.lost}
         hosts.discard(absent_at)
-        denied = self.scope.tags_of([absent_at])
-        search = Search(services, [segment], set(), [], since=now, asked=denied)
+        reported_absent = self.scope.tags_of([absent_at])
+        search = Search(
+            services, [segment], set(), [], since=now, asked=reported_absent
+        )
         board.searches[segment.flow] = search
         board.records.counters[Count.FINDS] += 1
         self._query(search, self.scope.tags_of(hosts), now)
--- a/notchhoist/flows/balancer/resting.py
+++ b/notchhoist/flows/balancer/resting.py
@@ -2,9 +2,10 @@
 
 A caller keeps a flow open between its requests, and the balancer receives no
 packets of it meanwhile. When the server may have exited, the balancer sends the
-caller's last packet again. If the flow no longer exists, the agent on the
-server's host or the server itself returns the packet. The balancer then acts as
-for a new packet of the caller, but before the caller's next request.
+caller's last packet again as a flow probe. If the flow no longer exists, the
+agent on the server's host or the server itself returns the packet. The balancer
+then acts as for a new packet of the caller, but before the caller's next
+request.
 """
 
 from msgspec import Struct, field
@@ -23,41 +24,41 @@
 CHECK_INTERVAL_S = 0.5
 """Time between two checks of the servers with idle flows, seconds."""
 
-PROBE_AFTER_S = 1.0
-"""Silence after which an agent with idle flows is probed, seconds."""
+HEALTH_PROBE_AFTER_S = 1.0
+"""Silence after which an agent with idle flows gets a health probe, seconds."""
 
-PROBES_PER_S_MAX = 50
-"""Maximum number of these probes in a second; they use half of the bandwidth
-budget of control messages."""
+HEALTH_PROBES_PER_S_MAX = 50
+"""Maximum number of these health probes in a second; they use half of the
+bandwidth budget of control messages."""
 
-REFERENCE_PROBES_PER_SILENT = 2
-"""Number of agents on other hosts to probe for each silent agent. A balancer
-that hears fewer agents than are silent attributes the silence to its own
-host."""
+REFERENCE_AGENTS_PER_SILENT = 2
+"""Number of agents on other hosts that get a health probe for each silent
+agent. A balancer that hears fewer agents than are silent attributes the silence
+to its own host."""
 
 STALE_ENTRIES_S = 5.0
 """Time after the first read of the server list during which a replaced entry
 causes no recheck, seconds. Such an entry belongs to a server that had exited
 earlier, and the flows were placed at its replacement."""
 
-COPIES_PER_CAUSE = 3
-"""Number of copies sent for each idle flow and cause, since packets may be
-lost."""
+FLOW_PROBES_PER_CAUSE = 3
+"""Number of flow probes for each idle flow and cause; some may be lost."""
 
-COPY_INTERVAL_S = 1.0
-"""Time between two copies for the same flow, seconds."""
+FLOW_PROBE_INTERVAL_S = 1.0
+"""Time between two probes of the same flow, seconds."""
 
 FLOWS_PER_BATCH = 50
-"""Maximum number of copies sent to a server in one check. A 5 Mbit/s link
+"""Maximum number of flow probes to a server in one check. A 5 Mbit/s link
 carries 50 packets of 1.2 KB in 0.1 s."""
 
 FLOWS_PER_CHECK = 5_000
 """Maximum number of flows scanned in one check, so that the process is not
 blocked; a longer scan continues in the next check."""
 
-ENTRY_VANISHED = "entry vanished"
-"""Reason of a recheck that lasts until the entry is back. It causes one series
-of copies, whereas each replacement of a server causes a new one."""
+UNLISTED = "entry vanished"
+"""Reason of a recheck that lasts until the server is listed again. It causes
+one series of flow probes, whereas each replacement of a server causes a new
+one."""
 
 
 class Recheck(Struct, eq=False):
@@ -67,19 +68,19 @@
         reason: Reason, for the log.
         scan_from: Earliest start of a scan that has found all these flows,
             seconds.
-        next_at: When the next copies are due, seconds.
-        copies: Number of copies sent for each flow, this round included.
-        pending: Flows of this round without a copy yet.
+        next_at: When the next flow probes are due, seconds.
+        rounds: Number of probes for each flow, this round included.
+        pending: Flows still to be probed in this round.
     """
 
     reason: str
     scan_from: float
     next_at: float
-    copies: int = 0
+    rounds: int = 0
     pending: list[bytes] = field(default_factory=list)
 
 
-class IdleGroup(Struct, eq=False):
+class ServerFlows(Struct, eq=False):
     """The open flows of one server, as found by a scan.
 
     Attributes:
@@ -104,7 +105,7 @@
 
     started_at: float = float("-inf")
     remaining: list[bytes] = field(default_factory=list)
-    groups: dict[str, IdleGroup] = field(default_factory=dict)
+    groups: dict[str, ServerFlows] = field(default_factory=dict)
 
 
 class RestingKeeper(Struct, eq=False):
@@ -117,7 +118,7 @@
         finder: Searches for flows.
         rechecks: Rechecks of servers that may have exited, by id of the server.
         scan: The current scan, or the last one.
-        idle_groups: Result of the last complete scan, by id of the server.
+        flows_by_server: Result of the last complete scan, by id of the server.
         scanned_at: When that scan started, seconds.
         next_check_at: When the servers are next checked, seconds.
     """
@@ -128,7 +129,7 @@
     finder: FlowFinder
     rechecks: dict[str, Recheck] = field(default_factory=dict)
     scan: Scan = field(default_factory=Scan)
-    idle_groups: dict[str, IdleGroup] = field(default_factory=dict)
+    flows_by_server: dict[str, ServerFlows] = field(default_factory=dict)
     scanned_at: float = float("-inf")
     next_check_at: float = 0.0
 
@@ -142,14 +143,14 @@
         self.next_check_at = now + CHECK_INTERVAL_S
         if self._continue_scan(now):
             self._update_rechecks(now)
-        self._probe_silent(now)
-        for server_id, group in list(self.idle_groups.items()):
+        self._send_health_probes(now)
+        for server_id, group in list(self.flows_by_server.items()):
             recheck = self.rechecks.get(server_id)
             if has_ended(group.server, self.board.store_failed_at, now):
-                del self.idle_groups[server_id]
+                del self.flows_by_server[server_id]
                 self._give_up(group.server, now)
             elif recheck is not None and self._is_due(recheck, now):
-                self._send_batch(group, recheck, now)
+                self._send_next_batch(group, recheck, now)
 
     def _is_due(self, recheck: Recheck, now: float) -> bool:
         return now >= recheck.next_at and recheck.scan_from <= self.scanned_at
@@ -189,81 +190,87 @@
             server_id = placement.server.entry.server_id
             group = scan.groups.get(server_id)
             if group is None or group.server is not placement.server:
-                group = scan.groups[server_id] = IdleGroup(placement.server)
+                group = scan.groups[server_id] = ServerFlows(placement.server)
             group.flows.append(flow)
             group.last_used_at = max(group.last_used_at, placement.last_at)
         del scan.remaining[-FLOWS_PER_CHECK:]
         if scan.remaining:
             return False
-        self.idle_groups, self.scanned_at = scan.groups, scan.started_at
+        self.flows_by_server, self.scanned_at = scan.groups, scan.started_at
         return True
 
     def _update_rechecks(self, now: float) -> None:
         """Adds and removes rechecks according to a completed scan."""
         for server_id, recheck in list(self.rechecks.items()):
             if (
-                server_id not in self.idle_groups
+                server_id not in self.flows_by_server
                 and recheck.scan_from <= self.scanned_at
             ):
                 del self.rechecks[server_id]
-        for server_id, group in self.idle_groups.items():
+        for server_id, group in self.flows_by_server.items():
             existing = self.rechecks.get(server_id)
             if not group.server.listed and not has_announced(group.server):
                 # A draining server closes its flows; its agent detects the
                 # remaining ones.
-                self._request_recheck(
-                    server_id, ENTRY_VANISHED, self.scanned_at, now
-                )
-            elif existing is not None and existing.reason == ENTRY_VANISHED:
+                self._request_recheck(server_id, UNLISTED, self.scanned_at, now)
+            elif existing is not None and existing.reason == UNLISTED:
                 del self.rechecks[server_id]
 
     def _request_recheck(
         self, server_id: str, reason: str, scan_from: float, now: float
     ) -> None:
-        """Schedules copies for the idle flows of a server."""
+        """Schedules flow probes for the idle flows of a server."""
         existing = self.rechecks.get(server_id)
-        exhausted = existing is not None and existing.copies >= COPIES_PER_CAUSE
-        repeats = exhausted and reason != ENTRY_VANISHED
+        exhausted = (
+            existing is not None and existing.rounds >= FLOW_PROBES_PER_CAUSE
+        )
+        repeats = exhausted and reason != UNLISTED
         if existing is None or existing.reason != reason or repeats:
             self.rechecks[server_id] = Recheck(reason, scan_from, now)
             self.next_check_at = now
 
-    def _probe_silent(self, now: float) -> None:
-        """Probes agents with idle flows that were not heard recently."""
-        pause_s = max(PROBE_AFTER_S, len(self.idle_groups) / PROBES_PER_S_MAX)
+    def _send_health_probes(self, now: float) -> None:
+        """Sends health probes to silent agents with idle flows."""
+        pause_s = max(
+            HEALTH_PROBE_AFTER_S,
+            len(self.flows_by_server) / HEALTH_PROBES_PER_S_MAX,
+        )
         silent = 0
-        for group in self.idle_groups.values():
+        for group in self.flows_by_server.values():
             server = group.server
-            if now - group.last_used_at <= PROBE_AFTER_S:
-                continue  # The packet has already caused a probe.
+            if now - group.last_used_at <= HEALTH_PROBE_AFTER_S:
+                continue  # The packet has already caused a health probe.
             silent += server.suspected and not server.lost
             if now - server.heard_at > pause_s:
-                self._probe(server, now)
+                self._send_health_probe(server, now)
         if silent:
-            self._probe_reference_agents(silent, now)
+            self._send_reference_health_probes(silent, now)
 
-    def _probe_reference_agents(self, silent: int, now: float) -> None:
-        """Probes other agents, to tell lost hosts from an isolated balancer."""
+    def _send_reference_health_probes(self, silent: int, now: float) -> None:
+        """Sends health probes to agents on other hosts.
+
+        Their answers tell lost hosts from an isolated balancer.
+        """
         others = [
             server
             for server in self.board.by_host.values()
             if server.listed and not server.suspected
         ]
         others.sort(key=lambda server: -server.heard_at)
-        for server in others[: REFERENCE_PROBES_PER_SILENT * silent]:
+        for server in others[: REFERENCE_AGENTS_PER_SILENT * silent]:
             if now - server.heard_at > DOUBT_S:
-                self._probe(server, now)
+                self._send_health_probe(server, now)
 
-    def _probe(self, server: Server, now: float) -> None:
+    def _send_health_probe(self, server: Server, now: float) -> None:
         if self.health.probe(server, now):
             self.board.records.counters[Count.PROBED_AT_REST] += 1
 
-    def _send_batch(
-        self, group: IdleGroup, recheck: Recheck, now: float
+    def _send_next_batch(
+        self, group: ServerFlows, recheck: Recheck, now: float
     ) -> None:
-        """Sends the last packets of flows again, one batch in each check."""
+        """Probes flows by their last packets, one batch in each check."""
         if not recheck.pending:
-            recheck.copies += 1
+            recheck.rounds += 1
             recheck.pending = list(group.flows)
         batch, recheck.pending = (
             recheck.pending[:FLOWS_PER_BATCH],
@@ -272,14 +279,14 @@
         if recheck.pending:
             recheck.next_at = now
         else:
-            last_copy = recheck.copies >= COPIES_PER_CAUSE
+            last_round = recheck.rounds >= FLOW_PROBES_PER_CAUSE
             recheck.next_at = (
-                float("inf") if last_copy else now + COPY_INTERVAL_S
+                float("inf") if last_round else now + FLOW_PROBE_INTERVAL_S
             )
         server = group.server
         batch = [flow for flow in batch if self._is_open_at(flow, server)]
         if batch:
-            self._send_copies(server, batch, recheck, now)
+            self._send_flow_probes(server, batch, recheck, now)
 
     def _is_open_at(self, flow: bytes, server: Server) -> bool:
         """Tells whether a flow is still open at the given server."""
@@ -288,7 +295,7 @@
             return False
         return _is_open(placement)
 
-    def _send_copies(
+    def _send_flow_probes(
         self, server: Server, batch: list[bytes], recheck: Recheck, now: float
     ) -> None:
         note = notes.to_agent(NoteKind.HELD, server.tag, notes.NO_WISH)
@@ -306,7 +313,7 @@
             server.entry.server_id,
             reason=recheck.reason,
             flows=len(batch),
-            copies=recheck.copies,
+            copies=recheck.rounds,
             heard_s=round(now - server.heard_at, 3),
         )
 
--- a/notchhoist/flows/balancer/tests/test_questions.py
+++ b/notchhoist/flows/balancer/tests/test_questions.py
@@ -44,11 +44,11 @@
     assert len(asked) == 1
     heads = 0
     while asked:
-        query = asked.pop()
-        heads += len(query.heads)
-        assert sum(len(head) for head in query.heads) <= QUERY_BYTES_MAX
-        flows = [CODEC.decode_request(head).flow for head in query.heads]
-        tell = FlowsTell(query.number, absent=tuple(flows))
+        sent_query = asked.pop()
+        heads += len(sent_query.heads)
+        assert sum(len(head) for head in sent_query.heads) <= QUERY_BYTES_MAX
+        flows = [CODEC.decode_request(head).flow for head in sent_query.heads]
+        tell = FlowsTell(sent_query.number, absent=tuple(flows))
         asked += queries_to_host(node.on_peer(HOST, tell, 0.01))
     assert heads == 100
     assert node.board.records.counters[Count.QUESTIONS] <= 3 * 5
@@ -74,13 +74,13 @@
     received them all located no flow for 3.6 s.
     """
     node = balancer(servers=1)
-    [query] = queries_to_host(node.on_caller(unknown_flow_packet(1), 0.0))
+    [sent_query] = queries_to_host(node.on_caller(unknown_flow_packet(1), 0.0))
     repeats = []
     for step in range(1, 36):
         repeats += queries_to_host(node.tick(0.01 * step))
     assert len(repeats) >= 2
     lost = unknown_flow_packet(1).flow
-    node.on_peer(HOST, FlowsTell(query.number, absent=(lost,)), 0.36)
+    node.on_peer(HOST, FlowsTell(sent_query.number, absent=(lost,)), 0.36)
     assert node.board.searches[lost].denied_at == 0.36
 
 
@@ -88,11 +88,11 @@
     """The flow may have been opened between the two searches."""
     node = balancer(servers=1)
     lost = unknown_flow_packet(1)
-    [query] = queries_to_host(node.on_caller(lost, 0.0))
+    [sent_query] = queries_to_host(node.on_caller(lost, 0.0))
     node.finder.questions.forget(lost.flow, {HOST}, TAG)
     del node.board.searches[lost.flow]
     node.on_caller(lost, 0.05)
-    node.on_peer(HOST, FlowsTell(query.number, absent=(lost.flow,)), 0.06)
+    node.on_peer(HOST, FlowsTell(sent_query.number, absent=(lost.flow,)), 0.06)
     search = node.board.searches[lost.flow]
     assert search.unanswered == {HOST}
     assert search.denied_at is None
--- a/notchhoist/flows/balancer/tests/test_resting.py
+++ b/notchhoist/flows/balancer/tests/test_resting.py
@@ -5,7 +5,7 @@
 import pytest
 
 from notchhoist.flows.balancer import resting
-from notchhoist.flows.balancer.resting import COPIES_PER_CAUSE
+from notchhoist.flows.balancer.resting import FLOW_PROBES_PER_CAUSE
 from notchhoist.flows.boards.balancer_board import Placement
 from notchhoist.flows.decisions.ending import GONE_S, LEFT_S, has_ended
 from notchhoist.flows.model import notes
@@ -48,7 +48,7 @@
                     self.node.on_peer(host, load, self.now)
 
 
-def test_only_agents_with_idle_flows_are_probed():
+def test_only_agents_with_idle_flows_get_health_probes():
     fleet = Fleet()
     fleet.run(5.0)
     assert set(fleet.asked) == {fleet.host}
@@ -57,18 +57,20 @@
     assert not any(idle.tick(tenths / 10) for tenths in range(50))
 
 
-def test_flows_of_a_replaced_server_get_a_few_copies():
+def test_flows_of_a_replaced_server_get_a_few_probes():
     fleet = Fleet()
     fleet.run(5.0)
     newer = entry(fleet.number, server_id="new", created=9)
     fleet.node.fleet.on_entry(newer, 9, fleet.now)
     fleet.run(10.0)
-    assert [host for host, _ in fleet.sent] == [fleet.host] * COPIES_PER_CAUSE
+    assert [host for host, _ in fleet.sent] == [
+        fleet.host
+    ] * FLOW_PROBES_PER_CAUSE
     kinds = {notes.kind_of(segment.note) for _, segment in fleet.sent}
     assert kinds == {NoteKind.HELD}
 
 
-def test_each_removal_of_an_entry_causes_new_copies():
+def test_each_removal_of_an_entry_causes_new_flow_probes():
     fleet = Fleet()
     server_id = f"s{fleet.number}"
     for revision in (6, 8):
@@ -77,7 +79,7 @@
         back = entry(fleet.number)
         fleet.node.fleet.on_entry(back, revision + 1, fleet.now)
         fleet.run(1.0)
-    assert len(fleet.sent) == 2 * COPIES_PER_CAUSE
+    assert len(fleet.sent) == 2 * FLOW_PROBES_PER_CAUSE
 
 
 def fleet_with_replaced_server(extra):
@@ -96,22 +98,22 @@
     return fleet
 
 
-def test_all_flows_of_a_replaced_server_get_equally_many_copies():
-    """Guards against sending all copies for the first batch of 50 flows."""
+def test_all_flows_of_a_replaced_server_get_equally_many_probes():
+    """Guards against sending all probes to the first batch of 50 flows."""
     fleet = fleet_with_replaced_server(299)
-    tries = collections.Counter(segment.flow for _, segment in fleet.sent)
-    assert len(tries) == 300
-    assert set(tries.values()) == {COPIES_PER_CAUSE}
+    probes = collections.Counter(segment.flow for _, segment in fleet.sent)
+    assert len(probes) == 300
+    assert set(probes.values()) == {FLOW_PROBES_PER_CAUSE}
     counters = fleet.node.board.records.counters
-    assert counters[Count.SEARCHED_AT_REST] == 300 * COPIES_PER_CAUSE
+    assert counters[Count.SEARCHED_AT_REST] == 300 * FLOW_PROBES_PER_CAUSE
 
 
 def test_scan_of_several_slices_reaches_all_flows(monkeypatch):
     monkeypatch.setattr(resting, "FLOWS_PER_CHECK", 30)
-    fleet = fleet_with_replaced_server(99)
-    tries = collections.Counter(segment.flow for _, segment in fleet.sent)
-    assert len(tries) == 100
-    assert set(tries.values()) == {COPIES_PER_CAUSE}
+    sliced = fleet_with_replaced_server(99)
+    probes = collections.Counter(segment.flow for _, segment in sliced.sent)
+    assert len(probes) == 100
+    assert set(probes.values()) == {FLOW_PROBES_PER_CAUSE}
 
 
 def test_one_check_scans_a_bounded_number_of_flows(monkeypatch):
@@ -131,7 +133,7 @@
     assert len(asked) == resting.FLOWS_PER_CHECK + 11
 
 
-def test_each_replacement_under_one_id_causes_new_copies():
+def test_each_replacement_under_one_id_causes_new_flow_probes():
     fleet = Fleet()
     fleet.run(5.0)
     for created in (9, 10):
@@ -140,7 +142,7 @@
         )
         fleet.node.fleet.on_entry(newer, created, fleet.now)
         fleet.run(5.0)
-    assert len(fleet.sent) == 2 * COPIES_PER_CAUSE
+    assert len(fleet.sent) == 2 * FLOW_PROBES_PER_CAUSE
 
 
 def test_disabled_mechanism_tracks_no_replaced_servers():
