--- a/notchhoist/flows/balancer/finding.py
+++ b/notchhoist/flows/balancer/finding.py
@@ -174,8 +174,8 @@
             self._handle_answer(host, NoteKind.PRESENT, flow, now)
         for flow in tell.absent:
             search = self.board.searches.get(flow)
-            tried = search is not None and host in search.trying
-            if flow in asked or (tried and not tell.number):
+            sampled = search is not None and host in search.trying
+            if flow in asked or (sampled and not tell.number):
                 self._handle_answer(host, NoteKind.ABSENT, flow, now)
         unsure = self.evidence.interpret_unsure(host, tell, now)
         for flow in tell.unsure:
@@ -328,7 +328,7 @@
     def _check_unanswered(
         self, flow: bytes, search: Search, now: float
     ) -> None:
-        """Checks the agents that have not answered yet."""
+        """Drops lost agents, then queries remaining ones or gives up."""
         search.sent_at = now
         for host in list(search.unanswered):
             server = self.board.by_host.get(host)
--- a/notchhoist/flows/balancer/trying.py
+++ b/notchhoist/flows/balancer/trying.py
@@ -26,7 +26,7 @@
 
 
 class FlowTrier(Struct, eq=False):
-    """Sends a packet of a flow as a sample to every unsure agent.
+    """Sends flow probes: one sample packet of a flow to every unsure agent.
 
     Attributes:
         board: State of the balancer.
