--- a/notchhoist/flows/balancer/tests/test_resting.py
+++ b/notchhoist/flows/balancer/tests/test_resting.py
@@ -1,11 +1,11 @@
-"""A balancer looks after flows that rest where a server may have ended."""
+"""A balancer rechecks idle flows at servers that may have exited."""
 
 import collections
 
 import pytest
 
 from notchhoist.flows.balancer import resting
-from notchhoist.flows.balancer.resting import COPIES
+from notchhoist.flows.balancer.resting import FLOW_PROBES_PER_CAUSE
 from notchhoist.flows.boards.balancer_board import Placement
 from notchhoist.flows.decisions.ending import GONE_S, LEFT_S, has_ended
 from notchhoist.flows.model import notes
@@ -19,7 +19,7 @@
 
 
 class Fleet:
-    """A balancer with one flow that rests, and agents that answer."""
+    """A balancer with one idle flow, and agents that answer."""
 
     def __init__(self):
         self.node = balancer()
@@ -48,7 +48,7 @@
                     self.node.on_peer(host, load, self.now)
 
 
-def test_agents_are_asked_where_flows_rest_and_nowhere_else():
+def test_only_agents_with_idle_flows_get_health_probes():
     fleet = Fleet()
     fleet.run(5.0)
     assert set(fleet.asked) == {fleet.host}
@@ -57,18 +57,20 @@
     assert not any(idle.tick(tenths / 10) for tenths in range(50))
 
 
-def test_the_flows_of_a_replaced_server_are_tried_by_a_few_copies():
+def test_flows_of_a_replaced_server_get_a_few_probes():
     fleet = Fleet()
     fleet.run(5.0)
     newer = entry(fleet.number, server_id="new", created=9)
     fleet.node.fleet.on_entry(newer, 9, fleet.now)
     fleet.run(10.0)
-    assert [host for host, _ in fleet.sent] == [fleet.host] * COPIES
+    assert [host for host, _ in fleet.sent] == [
+        fleet.host
+    ] * FLOW_PROBES_PER_CAUSE
     kinds = {notes.kind_of(segment.note) for _, segment in fleet.sent}
     assert kinds == {NoteKind.HELD}
 
 
-def test_an_entry_that_vanishes_again_brings_copies_again():
+def test_each_removal_of_an_entry_causes_new_flow_probes():
     fleet = Fleet()
     server_id = f"s{fleet.number}"
     for revision in (6, 8):
@@ -77,11 +79,11 @@
         back = entry(fleet.number)
         fleet.node.fleet.on_entry(back, revision + 1, fleet.now)
         fleet.run(1.0)
-    assert len(fleet.sent) == 2 * COPIES
+    assert len(fleet.sent) == 2 * FLOW_PROBES_PER_CAUSE
 
 
-def replaced_with(extra):
-    """A fleet with more flows at the same server, which has been replaced."""
+def fleet_with_replaced_server(extra):
+    """A fleet with more flows at the same server, which was replaced."""
     fleet = Fleet()
     [first] = fleet.node.board.flows.values()
     for port in range(1, extra + 1):
@@ -96,26 +98,26 @@
     return fleet
 
 
-def test_all_flows_of_a_replaced_server_are_tried_equally_often():
-    """The same 50 were tried three times, and the others never."""
-    fleet = replaced_with(299)
-    tries = collections.Counter(segment.flow for _, segment in fleet.sent)
-    assert len(tries) == 300
-    assert set(tries.values()) == {COPIES}
+def test_all_flows_of_a_replaced_server_get_equally_many_probes():
+    """Guards against sending all probes to the first batch of 50 flows."""
+    fleet = fleet_with_replaced_server(299)
+    probes = collections.Counter(segment.flow for _, segment in fleet.sent)
+    assert len(probes) == 300
+    assert set(probes.values()) == {FLOW_PROBES_PER_CAUSE}
     counters = fleet.node.board.records.counters
-    assert counters[Count.SEARCHED_AT_REST] == 300 * COPIES
+    assert counters[Count.SEARCHED_AT_REST] == 300 * FLOW_PROBES_PER_CAUSE
 
 
-def test_more_flows_than_one_look_walks_are_tried_too(monkeypatch):
-    monkeypatch.setattr(resting, "FLOWS_A_LOOK", 30)
-    walked = replaced_with(99)
-    tries = collections.Counter(segment.flow for _, segment in walked.sent)
-    assert len(tries) == 100
-    assert set(tries.values()) == {COPIES}
+def test_scan_of_several_slices_reaches_all_flows(monkeypatch):
+    monkeypatch.setattr(resting, "FLOWS_PER_CHECK", 30)
+    sliced = fleet_with_replaced_server(99)
+    probes = collections.Counter(segment.flow for _, segment in sliced.sent)
+    assert len(probes) == 100
+    assert set(probes.values()) == {FLOW_PROBES_PER_CAUSE}
 
 
-def test_one_look_walks_a_bounded_number_of_flows(monkeypatch):
-    """Each look walked all flows, up to 200,000 of them twice a second."""
+def test_one_check_scans_a_bounded_number_of_flows(monkeypatch):
+    """Scanning up to 200,000 flows twice a second blocks the process."""
     asked = []
     is_open = resting._is_open
     monkeypatch.setattr(
@@ -123,15 +125,15 @@
     )
     fleet = Fleet()
     [placement] = fleet.node.board.flows.values()
-    for number in range(resting.FLOWS_A_LOOK + 10):
+    for number in range(resting.FLOWS_PER_CHECK + 10):
         fleet.node.board.flows[number.to_bytes(4, "big")] = placement
     fleet.node.tick(1.0)
-    assert len(asked) == resting.FLOWS_A_LOOK
+    assert len(asked) == resting.FLOWS_PER_CHECK
     fleet.node.tick(1.6)
-    assert len(asked) == resting.FLOWS_A_LOOK + 11
+    assert len(asked) == resting.FLOWS_PER_CHECK + 11
 
 
-def test_each_replacement_under_one_id_brings_copies():
+def test_each_replacement_under_one_id_causes_new_flow_probes():
     fleet = Fleet()
     fleet.run(5.0)
     for created in (9, 10):
@@ -140,10 +142,10 @@
         )
         fleet.node.fleet.on_entry(newer, created, fleet.now)
         fleet.run(5.0)
-    assert len(fleet.sent) == 2 * COPIES
+    assert len(fleet.sent) == 2 * FLOW_PROBES_PER_CAUSE
 
 
-def test_out_of_use_nothing_is_kept_of_replaced_servers():
+def test_disabled_mechanism_tracks_no_replaced_servers():
     fleet = Fleet()
     board = fleet.node.board
     board.uses = board.uses.without(["resting"])
@@ -162,7 +164,7 @@
         (False, FOREVER, 0.0, FOREVER),
     ],
 )
-def test_when_a_server_has_ended_along_with_its_agent(
+def test_when_a_server_and_its_agent_count_as_exited(
     announced, unlisted_at, failed_at, ends_at
 ):
     server = Server(entry(1, draining=announced), 1, 0.0)
