--- a/notchhoist/flows/balancer/__init__.py
+++ b/notchhoist/flows/balancer/__init__.py
@@ -6,7 +6,7 @@
 * ``distances``: how far agents are.
 * ``liveness``, ``health``, ``isolation``: who is there.
 * ``informing``: tells agents what is published of their servers.
-* ``targeting``: the service of a new flow; ``reaching``: how far it is sent;
+* ``targeting``: the service of a new flow; ``locality``: how far it is sent;
   ``accepting``: what becomes of an offer; ``opening``: new flows.
 * ``forwarding``: packets of flows that are placed.
 * ``questions``, ``trying``, ``evidence``, ``scope``, ``search_records``,
--- a/notchhoist/flows/balancer/accepting.py
+++ b/notchhoist/flows/balancer/accepting.py
@@ -21,13 +21,13 @@
 
     def on_accepted(self, host: str, segment: Segment, now: float) -> None:
         """Takes word that a backend server accepted a flow."""
-        self.time(host, segment.flow, now)
+        self.record_round_trip(host, segment.flow, now)
         self._accept(host, segment, now)
         placement = self.board.flows.get(segment.flow)
         if placement is not None and placement.server.entry.host == host:
             placement.inferred = False
 
-    def on_chosen(self, segment: Segment, now: float) -> None:
+    def on_data_before_acceptance(self, segment: Segment, now: float) -> None:
         """Takes a packet that a caller sends once its flow is accepted.
 
         Where only one server can have accepted, word of that may be lost, and
@@ -40,9 +40,9 @@
             return
         if not board.uses.distances:
             return
-        silent = set(opening.tried) - set(opening.busy)
-        silent.add(placement.server.entry.server_id)
-        if len(silent) == 1:
+        may_have_accepted = set(opening.tried) - set(opening.busy)
+        may_have_accepted.add(placement.server.entry.server_id)
+        if len(may_have_accepted) == 1:
             placement.inferred = True
             self._accept(placement.server.entry.host, segment, now)
 
@@ -51,7 +51,7 @@
         opening = board.openings.pop(segment.flow, None)
         if opening is not None:
             self.end_offer(opening)
-            self.observe(opening, "accepted", now)
+            self.record_duration(opening, "accepted", now)
             if opening.if_free:
                 board.busy_shares.note(opening.service, busy=False)
         placement = board.flows.get(segment.flow)
@@ -67,7 +67,7 @@
             placement.server = server
             placement.accepted = True
 
-    def time(self, host: str, flow: bytes, now: float) -> None:
+    def record_round_trip(self, host: str, flow: bytes, now: float) -> None:
         """Takes the time of an agent's answer to the last offer of a flow."""
         opening = self.board.openings.get(flow)
         placement = self.board.flows.get(flow)
@@ -76,7 +76,9 @@
         if placement.server.entry.host == host:
             self.distances.note(placement.server, opening.sent_at, now)
 
-    def observe(self, opening: Opening, outcome: str, now: float) -> None:
+    def record_duration(
+        self, opening: Opening, outcome: str, now: float
+    ) -> None:
         """Counts what the last offer of a flow took."""
         self.board.records.observe(
             Timing.OPENING, opening.service, outcome, now - opening.sent_at
--- a/notchhoist/flows/balancer/distances.py
+++ b/notchhoist/flows/balancer/distances.py
@@ -14,27 +14,27 @@
 
 from notchhoist.flows.model.fleet import Server
 
-USUAL_ROUND_TRIP_S = 0.003
+DEFAULT_ROUND_TRIP_S = 0.003
 """A round trip that was not measured yet, seconds."""
 
 WINDOW_S = 10.0
 """Length of a window, seconds. The least of this one and the last one counts,
 so a way that has become longer is noticed after two of them."""
 
-LEAST_SAMPLES = 4
+MIN_SAMPLES = 4
 """Answers of a zone before its distance counts as known. A process that has
 just started reads its first answers late."""
 
-AGREES = 1.5
-AGREES_S = 0.001
+AGREEMENT_FACTOR = 1.5
+AGREEMENT_SLACK_S = 0.001
 """The two quickest answers agree if the second took no more than this many
 times as long, and this much, seconds. Waits in links and processes differ from
 one answer to the next; a distance does not."""
 
-LONGEST_S = 1.0
+MAX_ROUND_TRIP_S = 1.0
 """Answers that took longer tell of a stall, not of a distance, seconds."""
 
-KEPT_S = 60.0
+ESTIMATE_KEPT_S = 60.0
 """A measure is forgotten when nothing has confirmed it for so long, seconds.
 Constants decide then, and flows that go to that zone measure it again."""
 
@@ -45,65 +45,65 @@
     """The two quickest answers of a time.
 
     Attributes:
-        least_s: What the quickest one took, seconds.
-        second_s: The same for the next one.
+        min_s: What the quickest one took, seconds.
+        second_min_s: The same for the next one.
         count: How many answers there were.
     """
 
-    least_s: float = UNKNOWN
-    second_s: float = UNKNOWN
+    min_s: float = UNKNOWN
+    second_min_s: float = UNKNOWN
     count: int = 0
 
-    def add(self, trip_s: float) -> None:
+    def add(self, sample_s: float) -> None:
         """Takes account of an answer."""
         self.count += 1
-        if trip_s < self.least_s:
-            self.least_s, self.second_s = trip_s, self.least_s
-        elif trip_s < self.second_s:
-            self.second_s = trip_s
+        if sample_s < self.min_s:
+            self.min_s, self.second_min_s = sample_s, self.min_s
+        elif sample_s < self.second_min_s:
+            self.second_min_s = sample_s
 
 
 class ZoneTrips(Struct, eq=False):
     """Round trips to one availability zone.
 
     Attributes:
-        window: Answers since ``began_at``.
+        window: Answers since ``window_began_at``.
         before: Answers of the window before.
-        began_at: When the window began, seconds.
+        window_began_at: When the window began, seconds.
         measured_at: When the last answer came, seconds.
         trip_s: The round trip as measured, seconds; ``UNKNOWN`` at first.
     """
 
     window: Window = field(default_factory=Window)
     before: Window = field(default_factory=Window)
-    began_at: float = float("-inf")
+    window_began_at: float = float("-inf")
     measured_at: float = float("-inf")
     trip_s: float = UNKNOWN
 
-    def add(self, trip_s: float, now: float) -> None:
+    def add(self, sample_s: float, now: float) -> None:
         """Takes account of an answer."""
-        passed = now - self.began_at
-        if passed >= WINDOW_S:
-            self.before = self.window if passed < 2 * WINDOW_S else Window()
+        elapsed_s = now - self.window_began_at
+        if elapsed_s >= WINDOW_S:
+            self.before = self.window if elapsed_s < 2 * WINDOW_S else Window()
             self.window = Window()
-            self.began_at = now
-        self.window.add(trip_s)
+            self.window_began_at = now
+        self.window.add(sample_s)
         self.measured_at = now
-        self._settle()
+        self._update_estimate()
 
-    def _settle(self) -> None:
+    def _update_estimate(self) -> None:
         """Takes the second least answer, if there are enough that agree."""
-        if self.window.count + self.before.count < LEAST_SAMPLES:
+        if self.window.count + self.before.count < MIN_SAMPLES:
             return
-        low, high = sorted((self.window, self.before), key=_least)
-        least_s = low.least_s
-        second_s = min(low.second_s, high.least_s)
-        if second_s <= AGREES * least_s + AGREES_S:
+        low, high = sorted((self.window, self.before), key=_min_s)
+        least_s = low.min_s
+        second_s = min(low.second_min_s, high.min_s)
+        if second_s <= AGREEMENT_FACTOR * least_s + AGREEMENT_SLACK_S:
             self.trip_s = second_s
 
 
-def _least(window: Window) -> float:
-    return window.least_s
+def _min_s(window: Window) -> float:
+    return window.min_s
 
 
 class Distances(Struct, eq=False):
@@ -119,20 +119,20 @@
 
     def round_trip_s(self, server: Server) -> float:
         """Returns the time of a round trip to a server's agent, seconds."""
-        trip_s = self._trip_s(server.entry.zone)
-        return trip_s if trip_s < UNKNOWN else USUAL_ROUND_TRIP_S
+        trip_s = self._estimate_s(server.entry.zone)
+        return trip_s if trip_s < UNKNOWN else DEFAULT_ROUND_TRIP_S
 
     def extra_s(self, zone: str) -> float:
         """Returns what a round trip to a zone takes beyond one in the own zone.
 
         It is 0 while one of them is not known.
         """
-        own_s, trip_s = self._trip_s(self.zone), self._trip_s(zone)
+        own_s, trip_s = self._estimate_s(self.zone), self._estimate_s(zone)
         if UNKNOWN in (own_s, trip_s):
             return 0.0
         return max(0.0, trip_s - own_s)
 
-    def _trip_s(self, zone: str) -> float:
+    def _estimate_s(self, zone: str) -> float:
         trips = self.by_zone.get(zone)
         return trips.trip_s if trips is not None else UNKNOWN
 
@@ -145,7 +145,7 @@
             now: Runtime clock, seconds.
         """
         trip_s = now - sent_at
-        if not 0.0 < trip_s <= LONGEST_S:
+        if not 0.0 < trip_s <= MAX_ROUND_TRIP_S:
             return
         zone = server.entry.zone
         trips = self.by_zone.get(zone)
@@ -156,7 +156,7 @@
     def sweep(self, now: float) -> None:
         """Forgets zones that nothing was heard of for long."""
         for zone, trips in list(self.by_zone.items()):
-            if now - trips.measured_at > KEPT_S:
+            if now - trips.measured_at > ESTIMATE_KEPT_S:
                 del self.by_zone[zone]
 
 
--- a/notchhoist/flows/balancer/forwarding.py
+++ b/notchhoist/flows/balancer/forwarding.py
@@ -39,7 +39,7 @@
         self.board.flows.move_to_end(segment.flow)
         server = placement.server
         if segment.size and segment.repeats(placement.last):
-            self.health.doubt(server, now)
+            self.health.on_retransmission(server, now)
         placement.last_at = now
         placement.last = segment
         placement.used_since = min(placement.used_since, now)
--- a/notchhoist/flows/balancer/health.py
+++ b/notchhoist/flows/balancer/health.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, field
 
 from notchhoist.flows.balancer.distances import Distances
-from notchhoist.flows.balancer.liveness import HostWatch
+from notchhoist.flows.balancer.liveness import HostChecker
 from notchhoist.flows.balancer.resetting import FlowResetter
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.model.effects import SendPeer
@@ -13,7 +13,7 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.published.states import concerns_agent, state_of
 
-FRESH_S = 0.5
+LOAD_FRESH_S = 0.5
 """An agent that was heard within this time is not asked for its load."""
 
 PROBES_PER_S = 100
@@ -38,20 +38,20 @@
 """Silence after a probe before an agent's flows are given up: seven probes
 unanswered, which a loss of 3% brings about once in 10**9 times."""
 
-NARROW_MBPS = 20
+LOW_BANDWIDTH_MBPS = 20
 """A link below this is filled by a few uploads of 40 to 240 KB at once, Mbit/s;
 answers of agents that live are then lost for a second and more."""
 
-SUSPECTS_ON_NARROW = 2
-LOST_ON_NARROW_S = 2.4
+LOW_BANDWIDTH_SUSPECTS = 2
+LOW_BANDWIDTH_LOST_AFTER_S = 2.4
 """On a narrow link, with more suspects than that, agents are silent this long
 before their flows are given up, seconds."""
 
-RESTS_S = 1.0
+IDLE_AFTER_S = 1.0
 """A flow without a packet for so long rests, seconds: a caller that waits sends
 copies."""
 
-RESTART_S = 3.0
+RESTART_WAIT_S = 3.0
 """How long an agent that announced a restart is waited for, seconds."""
 
 
@@ -64,32 +64,32 @@
     Attributes:
         board: What the balancer knows.
         resetter: Ends flows.
-        hosts: Tells agents that are restarted from hosts that are lost.
+        host_checker: Tells agents that are restarted from hosts that are lost.
         distances: Is told what answers take.
         link_mbps: What this host's link carries, Mbit/s; 0 if unknown.
-        waiting: Servers whose agents owe an answer, by id.
+        awaiting_reply: Servers whose agents owe an answer, by id.
         heard_at: When any agent was last heard, seconds.
-        ticked_at: When silence was last judged, seconds.
-        judges_from: Silence is judged again from then on, seconds.
+        last_tick_at: When silence was last judged, seconds.
+        detection_resumes_at: Silence is judged again from then on, seconds.
     """
 
     board: BalancerBoard
     resetter: FlowResetter
-    hosts: HostWatch
+    host_checker: HostChecker
     distances: Distances
     link_mbps: int = 0
-    waiting: dict[str, Server] = field(default_factory=dict)
+    awaiting_reply: dict[str, Server] = field(default_factory=dict)
     heard_at: float = float("-inf")
-    ticked_at: float = float("inf")
-    judges_from: float = float("-inf")
+    last_tick_at: float = float("inf")
+    detection_resumes_at: float = float("-inf")
 
     def expect(self, server: Server, now: float) -> None:
         """Notes that a packet went to a server; asks if its load is old."""
-        pause = max(FRESH_S, len(self.board.by_host) / PROBES_PER_S)
-        if server.probed_at is None and now - server.heard_at > pause:
+        interval_s = max(LOAD_FRESH_S, len(self.board.by_host) / PROBES_PER_S)
+        if server.probed_at is None and now - server.heard_at > interval_s:
             self._probe(server, now)
 
-    def doubt(self, server: Server, now: float) -> None:
+    def on_retransmission(self, server: Server, now: float) -> None:
         """Takes account of a copy: what went before may not have arrived."""
         if server.probed_at is None and now - server.heard_at > DOUBT_S:
             self._probe(server, now)
@@ -105,7 +105,7 @@
         if server.probed_at is None:
             server.probed_at = now
         server.probe_sent_at = now
-        self.waiting[server.entry.server_id] = server
+        self.awaiting_reply[server.entry.server_id] = server
         state = None
         if concerns_agent(self.board, server):
             state = state_of(self.board, server, now)
@@ -120,7 +120,7 @@
         if server is None:
             return
         self.heard_at = now
-        self.waiting.pop(server.entry.server_id, None)
+        self.awaiting_reply.pop(server.entry.server_id, None)
         if server.suspected:
             self.board.records.decide(
                 "agent regained", b"", server.entry.server_id, server_host=host
@@ -134,18 +134,18 @@
             server.offered = 0
         server.note_load(load.flows, load.running, load.pace_ms)
 
-    def on_told(self, host: str, message: LoadTell, now: float) -> None:
+    def on_load_tell(self, host: str, message: LoadTell, now: float) -> None:
         """Takes an agent's answer to a question for its load."""
         load = Load(message.flows, message.running, message.pace_ms)
         server = self.board.by_host.get(host)
         if server is not None and not message.stopping:
-            self._measure(server, now)
+            self._record_round_trip(server, now)
         self.on_heard(host, load, now)
         if server is not None and message.stopping:
-            server.restarting_until = now + RESTART_S
+            server.restarting_until = now + RESTART_WAIT_S
             server.suspected = True
 
-    def _measure(self, server: Server, now: float) -> None:
+    def _record_round_trip(self, server: Server, now: float) -> None:
         """Takes the time of a probe that was sent once.
 
         Probes have no numbers: an answer to one of several tells nothing.
@@ -171,11 +171,13 @@
             silent_s=round(now - server.heard_at, 3),
         )
 
-    def hears_nobody(self, now: float) -> bool:
+    def are_all_agents_silent(self, now: float) -> bool:
         """Tells whether agents owe answers and none of them is heard."""
-        return bool(self.waiting) and now - self.heard_at >= SUSPECT_AFTER_S
+        return (
+            bool(self.awaiting_reply) and now - self.heard_at >= SUSPECT_AFTER_S
+        )
 
-    def _hears_others(self, now: float) -> bool:
+    def _hears_enough_agents(self, now: float) -> bool:
         """Tells whether silence is the agents' and not this host's.
 
         A host whose own link is full or cut hears nobody; it must not give up
@@ -187,30 +189,30 @@
         )
         silent = sum(
             server.probed_at is not None and server.probed_at <= since
-            for server in self.waiting.values()
+            for server in self.awaiting_reply.values()
         )
         return silent <= heard
 
     def tick(self, now: float) -> None:
         """Probes again, suspects, and gives up."""
-        self._note_stall(now)
-        judges = now >= self.judges_from
-        trusts_silence = judges and self._hears_others(now)
+        self._detect_stall(now)
+        detects = now >= self.detection_resumes_at
+        trusts_silence = detects and self._hears_enough_agents(now)
         lost_after_s = self._lost_after_s()
-        for server_id, server in list(self.waiting.items()):
+        for server_id, server in list(self.awaiting_reply.items()):
             if self.board.servers.get(server_id) is not server:
-                del self.waiting[server_id]
+                del self.awaiting_reply[server_id]
                 continue
             if server.probed_at is None:
                 continue
-            silent = now - server.probed_at
-            if judges and silent >= SUSPECT_AFTER_S:
+            silence_s = now - server.probed_at
+            if detects and silence_s >= SUSPECT_AFTER_S:
                 self.suspect(server, now, "no answer to probes")
-                self.hosts.look(server, now)
+                self.host_checker.start_check(server, now)
             if (
                 trusts_silence
-                and silent >= lost_after_s
-                and self.hosts.shows_loss(server, now)
+                and silence_s >= lost_after_s
+                and self.host_checker.confirms_loss(server, now)
             ):
                 self.give_up(server, now, "agent lost")
             if now - server.probe_sent_at >= PROBE_EVERY_S:
@@ -218,22 +220,22 @@
 
     def _lost_after_s(self) -> float:
         """Returns how long an agent must be silent to be given up, seconds."""
-        suspects = sum(item.suspected for item in self.waiting.values())
-        narrow = 0 < self.link_mbps < NARROW_MBPS
+        suspects = sum(item.suspected for item in self.awaiting_reply.values())
+        narrow = 0 < self.link_mbps < LOW_BANDWIDTH_MBPS
         narrow = narrow and self.board.uses.narrow_patience
-        if narrow and suspects > SUSPECTS_ON_NARROW:
-            return LOST_ON_NARROW_S
+        if narrow and suspects > LOW_BANDWIDTH_SUSPECTS:
+            return LOW_BANDWIDTH_LOST_AFTER_S
         return LOST_AFTER_S
 
-    def _note_stall(self, now: float) -> None:
+    def _detect_stall(self, now: float) -> None:
         """Notices that this process itself stood still for a while.
 
         Answers that came meanwhile wait to be read; nobody is judged before.
         """
-        stalled = now - self.ticked_at > STALL_S
-        if self.waiting and stalled:
-            self.judges_from = now + PROBE_EVERY_S
-        self.ticked_at = now if self.waiting else float("inf")
+        stalled = now - self.last_tick_at > STALL_S
+        if self.awaiting_reply and stalled:
+            self.detection_resumes_at = now + PROBE_EVERY_S
+        self.last_tick_at = now if self.awaiting_reply else float("inf")
 
     def give_up(
         self, server: Server, now: float, reason: str, **inputs: object
@@ -258,10 +260,10 @@
             del self.board.flows[flow]
             if placement.closing or not placement.accepted:
                 continue
-            rests = now - placement.last_at > RESTS_S
-            doubtful = rests or placement.inferred
-            unsure = doubtful and not placement.is_shown
-            if self.board.uses.resting and unsure:
+            is_idle = now - placement.last_at > IDLE_AFTER_S
+            may_have_moved = is_idle or placement.inferred
+            is_unconfirmed = may_have_moved and not placement.is_shown
+            if self.board.uses.resting and is_unconfirmed:
                 continue  # Its caller may have chosen another server.
             self.resetter.reset(
                 placement.last,
@@ -272,13 +274,16 @@
                 **inputs,
             )
         if not server.listed:
-            self.waiting.pop(server.entry.server_id, None)
+            self.awaiting_reply.pop(server.entry.server_id, None)
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
         return (
             min(
-                (server.probe_sent_at for server in self.waiting.values()),
+                (
+                    server.probe_sent_at
+                    for server in self.awaiting_reply.values()
+                ),
                 default=float("inf"),
             )
             + PROBE_EVERY_S
--- a/notchhoist/flows/balancer/informing.py
+++ b/notchhoist/flows/balancer/informing.py
@@ -15,27 +15,27 @@
 from notchhoist.flows.published.sharing import ViewSharer
 from notchhoist.flows.published.states import concerns_agent, state_of
 
-REPEAT_S = 0.2
+RESEND_AFTER_S = 0.2
 """Time until an agent that has not confirmed is told again, seconds: 60 round
 trips, and a twenty-fifth of the shortest bound of an evacuation, 5 s."""
 
-TRIES = 10
+SENDS_MAX = 10
 """How often an agent is told without a word from it; it hears the news from
 whoever sends it the next flow, too."""
 
 
-class Telling(Struct, eq=False):
+class PendingState(Struct, eq=False):
     """What one agent is being told.
 
     Attributes:
         server: Its backend server.
         due: When to tell it next, seconds.
-        tries: How often it was told.
+        sends: How often it was told.
     """
 
     server: Server
     due: float
-    tries: int = 0
+    sends: int = 0
 
 
 class AgentInformer(Struct, eq=False):
@@ -44,45 +44,48 @@
     Attributes:
         board: What the balancer knows.
         sharer: Knows whether this balancer reads the platform.
-        seen: Revision up to which agents have been told, or are being told.
+        queued_revision: View revision up to which changes have been queued.
         pending: Agents that have not confirmed, by id of the server.
     """
 
     board: BalancerBoard
     sharer: ViewSharer
-    seen: int = 0
-    pending: dict[str, Telling] = field(default_factory=dict)
+    queued_revision: int = 0
+    pending: dict[str, PendingState] = field(default_factory=dict)
 
     def tick(self, now: float) -> None:
         """Tells agents what has changed, again where they keep silent."""
-        if self.board.view.revision != self.seen:
-            self._look(now)
-        for server_id, telling in list(self.pending.items()):
-            current = self.board.servers.get(server_id) is telling.server
-            if not current or telling.tries >= TRIES:
+        if self.board.view.revision != self.queued_revision:
+            self._queue_changes(now)
+        for server_id, update in list(self.pending.items()):
+            current = self.board.servers.get(server_id) is update.server
+            if not current or update.sends >= SENDS_MAX:
                 del self.pending[server_id]
-            elif now >= telling.due:
-                self._tell(telling, now)
+            elif now >= update.due:
+                self._send_pending(update, now)
 
-    def _look(self, now: float) -> None:
+    def _queue_changes(self, now: float) -> None:
         """Notes which agents the newest changes concern."""
-        before, self.seen = self.seen, self.board.view.revision
+        previous, self.queued_revision = (
+            self.queued_revision,
+            self.board.view.revision,
+        )
         if not self.sharer.membership.is_reader(now):
             return
         for server in self.board.by_host.values():
             entry = server.entry
             newest = self.board.view.state_revision(entry)
-            if not server.listed or newest <= before:
+            if not server.listed or newest <= previous:
                 continue
             if concerns_agent(self.board, server):
-                self.pending[entry.server_id] = Telling(server, now)
+                self.pending[entry.server_id] = PendingState(server, now)
 
-    def _tell(self, telling: Telling, now: float) -> None:
-        telling.tries += 1
-        telling.due = now + REPEAT_S
-        self.tell(telling.server, now)
+    def _send_pending(self, update: PendingState, now: float) -> None:
+        update.sends += 1
+        update.due = now + RESEND_AFTER_S
+        self.send_state(update.server, now)
 
-    def tell(self, server: Server, now: float) -> None:
+    def send_state(self, server: Server, now: float) -> None:
         """Tells an agent what is published of its server."""
         state = state_of(self.board, server, now)
         server.state_told = state.revision
@@ -98,9 +101,9 @@
         """
         newest = self.board.view.state_revision(server.entry)
         if server.state_told < newest and concerns_agent(self.board, server):
-            self.tell(server, now)
+            self.send_state(server, now)
 
-    def on_told(self, host: str, message: LoadTell, now: float) -> None:
+    def on_load_tell(self, host: str, message: LoadTell, now: float) -> None:
         """Takes account of what an agent knows; tells it what it does not."""
         server = self.board.by_host.get(host)
         if server is None or not concerns_agent(self.board, server):
@@ -108,15 +111,17 @@
         newest = self.board.view.state_revision(server.entry)
         if message.state_revision >= newest:
             self.pending.pop(server.entry.server_id, None)
-        elif now - server.told_at >= REPEAT_S or server.state_told < newest:
+        elif (
+            now - server.told_at >= RESEND_AFTER_S or server.state_told < newest
+        ):
             # An agent of an earlier version never says what it knows.
-            self.tell(server, now)
+            self.send_state(server, now)
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
-        if self.board.view.revision != self.seen:
+        if self.board.view.revision != self.queued_revision:
             return float("-inf")
         return min(
-            (telling.due for telling in self.pending.values()),
+            (update.due for update in self.pending.values()),
             default=float("inf"),
         )
--- a/notchhoist/flows/balancer/liveness.py
+++ b/notchhoist/flows/balancer/liveness.py
@@ -20,16 +20,16 @@
 three end before an agent's flows are given up after 0.9 s, so one lost opening
 packet decides nothing."""
 
-CHECKS_MAX = 32
+CONCURRENT_CHECKS_MAX = 32
 """Checks at one time: 100 a second where a zone is dark, about 20 KB/s and half
 a millisecond of processor time each on the thinnest host."""
 
-AWAY_S = 1.0
+AWAY_AFTER_REFUSAL_S = 1.0
 """An agent whose host refused a connection counts as away for so long, seconds;
 the next check ends long before."""
 
 
-class HostWatch(Struct, eq=False):
+class HostChecker(Struct, eq=False):
     """Checks the hosts of silent agents.
 
     Attributes:
@@ -40,10 +40,10 @@
     board: BalancerBoard
     pending: set[str] = field(default_factory=set)
 
-    def look(self, server: Server, now: float) -> None:
+    def start_check(self, server: Server, now: float) -> None:
         """Begins a check unless one is under way or has just ended."""
         host = server.entry.host
-        if host in self.pending or len(self.pending) >= CHECKS_MAX:
+        if host in self.pending or len(self.pending) >= CONCURRENT_CHECKS_MAX:
             return
         if now - server.checked_at < CHECK_PAUSE_S:
             return
@@ -72,9 +72,11 @@
                 server_host=host,
                 silent_s=round(now - server.heard_at, 3),
             )
-        server.restarting_until = max(server.restarting_until, now + AWAY_S)
+        server.restarting_until = max(
+            server.restarting_until, now + AWAY_AFTER_REFUSAL_S
+        )
 
-    def shows_loss(self, server: Server, now: float) -> bool:
+    def confirms_loss(self, server: Server, now: float) -> bool:
         """Tells whether a check since its silence began speaks for its loss.
 
         A host whose agent has ended with its server refuses connections like
--- a/notchhoist/flows/balancer/reaching.py
+++ b/notchhoist/flows/balancer/locality.py
@@ -14,7 +14,7 @@
 Costs = Mapping[str, FarCosts]
 
 
-class FlowReach(Struct, eq=False):
+class ZoneLocality(Struct, eq=False):
     """Reckons with the distance of the servers that a flow may go to.
 
     Attributes:
@@ -31,32 +31,32 @@
         Args:
             servers: Servers that a flow is placed among.
         """
-        if not servers or not self._is_used():
+        if not servers or not self._is_enabled():
             return {}
-        pace_s = _pace_s(servers)
+        pace_s = _service_time_s(servers)
         if not pace_s:
             return {}
-        busy = self._busy(servers)
+        utilization = self._utilization(servers)
         zones = {server.entry.zone for server in servers}
         zones.discard(self.board.zone)
         costs = {}
         for zone in zones:
             extra_s = self.distances.extra_s(zone)
-            costs[zone] = reaching.far_costs(extra_s, pace_s, busy)
+            costs[zone] = reaching.far_costs(extra_s, pace_s, utilization)
         return costs
 
-    def _busy(self, servers: Sequence[Server]) -> float:
+    def _utilization(self, servers: Sequence[Server]) -> float:
         """Returns the share of the slots that are taken."""
-        busy = self.board.busy_shares.busy(servers[0].entry.service)
-        if busy is not None:
-            return busy
+        utilization = self.board.busy_shares.busy(servers[0].entry.service)
+        if utilization is not None:
+            return utilization
         slots = sum(max(1, server.entry.slots) for server in servers)
         return sum(server.running for server in servers) / slots
 
-    def _is_used(self) -> bool:
+    def _is_enabled(self) -> bool:
         return self.board.uses.distances and self.board.uses.zone
 
-    def first(
+    def servers_to_ask(
         self,
         opening: Opening,
         untried: Sequence[Server],
@@ -77,8 +77,8 @@
         attempts = self.board.busy_shares.attempts(opening.service)
         if attempts <= FULL_ATTEMPTS:
             return untried
-        median_ms = _pace_s(untried) * 1000
-        near = [
+        median_ms = _service_time_s(untried) * 1000
+        local = [
             server
             for server in untried
             if not _is_far(server, costs)
@@ -86,9 +86,9 @@
                 server, placing.capacity(server, median_ms), now
             )
         ]
-        return near or untried
+        return local or untried
 
-    def waits_near(
+    def prefers_local_queue(
         self, opening: Opening, untried: Sequence[Server], costs: Costs
     ) -> bool:
         """Tells whether waiting near is better than one more attempt.
@@ -103,11 +103,11 @@
         if not all(_is_far(server, costs) for server in untried):
             return False
         extra_s = min(costs[item.entry.zone].extra_s for item in untried)
-        long = opening.route.long_lived
-        trips = reaching.LONG_TRIPS if long else reaching.ONCE_TRIPS
-        return self._wait_near_s(opening, costs) <= trips * extra_s
+        long_lived_flow = opening.route.long_lived
+        trips = reaching.LONG_TRIPS if long_lived_flow else reaching.ONCE_TRIPS
+        return self._local_queue_wait_s(opening, costs) <= trips * extra_s
 
-    def _wait_near_s(self, opening: Opening, costs: Costs) -> float:
+    def _local_queue_wait_s(self, opening: Opening, costs: Costs) -> float:
         """Returns the shortest wait at a near server that was busy, seconds.
 
         One that had no slot though hardly anything runs there is failing.
@@ -118,8 +118,8 @@
             if server is None or _is_far(server, costs):
                 continue
             # The offer that has just come back still counts there.
-            last = server_id == opening.tried[-1] and server.offered > 0
-            ahead = server.running - last
+            counts_offer = server_id == opening.tried[-1] and server.offered > 0
+            ahead = server.running - counts_offer
             slots = server.entry.slots
             if server.pace_ms and ahead >= max(1, slots):
                 pace_s = server.pace_ms / 1000
@@ -128,7 +128,7 @@
 
     def accept_wait_s(self, server: Server) -> float:
         """Returns how long a server has to accept a new flow, seconds."""
-        if not self._is_used():
+        if not self._is_enabled():
             return reaching.ACCEPT_WAIT_S
         return reaching.accept_wait_s(self.distances.round_trip_s(server))
 
@@ -138,8 +138,8 @@
     return costs.get(server.entry.zone, reaching.USUAL_COSTS).is_long
 
 
-def _pace_s(servers: Sequence[Server]) -> float:
+def _service_time_s(servers: Sequence[Server]) -> float:
     """Returns the service time, seconds; 0 while few servers have told it."""
-    paces = [server.pace_ms for server in servers if server.pace_ms]
-    known = 2 * len(paces) >= len(servers)
-    return placing.median(paces) / 1000 if known else 0.0
+    service_times_ms = [server.pace_ms for server in servers if server.pace_ms]
+    is_known = 2 * len(service_times_ms) >= len(servers)
+    return placing.median(service_times_ms) / 1000 if is_known else 0.0
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -11,8 +11,8 @@
 from notchhoist.flows.balancer.forwarding import FlowForwarder
 from notchhoist.flows.balancer.health import HealthKeeper
 from notchhoist.flows.balancer.informing import AgentInformer
-from notchhoist.flows.balancer.isolation import IsolationKeeper
-from notchhoist.flows.balancer.liveness import HostWatch
+from notchhoist.flows.balancer.isolation import IsolationDetector
+from notchhoist.flows.balancer.liveness import HostChecker
 from notchhoist.flows.balancer.opening import FlowOpener, make_opener
 from notchhoist.flows.balancer.questions import make_questions
 from notchhoist.flows.balancer.rejoining import FlowRejoiner
@@ -48,7 +48,7 @@
     make_view_sharer,
 )
 
-SWEEP_S = 1.0
+SWEEP_EVERY_S = 1.0
 CLOSED_KEPT_S = 3.0
 """A placement whose caller has ended the flow is kept so long for its last
 packets, seconds; above the longest pause between two copies, 1.6 s."""
@@ -86,7 +86,7 @@
     reroutings: Reroutings
     sharer: ViewSharer
     informer: AgentInformer
-    isolation: IsolationKeeper
+    isolation: IsolationDetector
     early: EarlyPackets
     resting: RestingKeeper
     sweep_due: float = 0.0
@@ -102,17 +102,17 @@
         """Takes a packet of a caller."""
         board = self.board
         board.records.counters[Count.CALLER_PACKETS] += 1
-        self._take_caller(segment, now)
+        self._handle_caller(segment, now)
         return self.take_effects()
 
-    def _take_caller(self, segment: Segment, now: float) -> None:
+    def _handle_caller(self, segment: Segment, now: float) -> None:
         board = self.board
         if board.table is None or not board.fleet_known:
             self._keep_early(segment, now)
             return
         route = board.table.routes.get(segment.service_key)
         if route is None:
-            self._refuse_route(segment, board.table.version, now)
+            self._reject_unrouted(segment, board.table.version, now)
         elif segment.opens:
             self.opener.on_opening(route, segment, now)
         else:
@@ -123,7 +123,7 @@
         kept = self.board.uses.early and self.early.keep(segment, now)
         counters[Count.KEPT_EARLY if kept else Count.NO_CONFIGURATION] += 1
 
-    def _serve_early(self, now: float) -> None:
+    def _replay_early(self, now: float) -> None:
         """Serves what came before routes and servers were known."""
         board = self.board
         if not self.early.by_flow or board.table is None:
@@ -141,9 +141,11 @@
             version=board.table.version,
         )
         for segment in segments:
-            self._take_caller(segment, now)
+            self._handle_caller(segment, now)
 
-    def _refuse_route(self, segment: Segment, version: int, now: float) -> None:
+    def _reject_unrouted(
+        self, segment: Segment, version: int, now: float
+    ) -> None:
         if segment.resets:
             return
         self.board.records.counters[Count.NO_ROUTE] += 1
@@ -160,7 +162,7 @@
             self.finder.on_unknown(service, segment, now)
             return
         if not placement.accepted:
-            self.opener.outcomes.on_chosen(segment, now)
+            self.opener.outcomes.on_data_before_acceptance(segment, now)
         self.forwarder.forward(route, placement, segment, now)
 
     def on_agent(self, host: str, segment: Segment, now: float) -> list[Effect]:
@@ -174,7 +176,7 @@
         if kind is NoteKind.FULL:
             load = replace(load, pace_ms=self.board.by_host[host].pace_ms)
         self.health.on_heard(host, load, now)
-        self._note_life(host, now)
+        self._repeat_overdue_question(host, now)
         match kind:
             case NoteKind.TAKEN:
                 self.opener.outcomes.on_accepted(host, segment, now)
@@ -199,9 +201,9 @@
         """Takes a control message."""
         match message:
             case LoadTell():
-                self.health.on_told(host, message, now)
-                self.informer.on_told(host, message, now)
-                self._note_life(host, now)
+                self.health.on_load_tell(host, message, now)
+                self.informer.on_load_tell(host, message, now)
+                self._repeat_overdue_question(host, now)
             case FlowsTell():
                 self.finder.on_tell(host, message, now)
             case ViewAsk():
@@ -213,7 +215,7 @@
         self.on_published(now)
         return self.take_effects()
 
-    def _note_life(self, host: str, now: float) -> None:
+    def _repeat_overdue_question(self, host: str, now: float) -> None:
         server = self.board.by_host.get(host)
         if server is not None:
             self.finder.questions.on_heard(host, server.tag, now)
@@ -222,13 +224,13 @@
         self, host: str, reach: Reach, now: float
     ) -> list[Effect]:
         """Takes the outcome of ``CheckHost``."""
-        self.health.hosts.on_checked(host, reach, now)
+        self.health.host_checker.on_checked(host, reach, now)
         return self.take_effects()
 
     def on_published(self, now: float) -> None:
         """Takes account of news of what the platform publishes."""
         self.reroutings.look(now)
-        self._serve_early(now)
+        self._replay_early(now)
 
     def tick(self, now: float) -> list[Effect]:
         """Does what is due."""
@@ -242,7 +244,7 @@
         self.sharer.tick(now)
         self.informer.tick(now)
         if now >= self.sweep_due:
-            self.sweep_due = now + SWEEP_S
+            self.sweep_due = now + SWEEP_EVERY_S
             self._sweep(now)
         return self.take_effects()
 
@@ -252,13 +254,13 @@
         self.health.distances.sweep(now)
         flows = self.board.flows
         idle_s = self.board.table.idle_s if self.board.table else 0.0
-        old = [
+        expired = [
             flow
             for flow, placement in flows.items()
             if now - placement.last_at
             > (CLOSED_KEPT_S if placement.closing else idle_s + CLOSED_KEPT_S)
         ]
-        for flow in old:
+        for flow in expired:
             del flows[flow]
 
     def stop(self) -> None:
@@ -308,8 +310,8 @@
     early = EarlyPackets()
     resetter = FlowResetter(board, codec)
     distances = make_distances(zone)
-    hosts = HostWatch(board)
-    health = HealthKeeper(board, resetter, hosts, distances, link_mbps)
+    host_checker = HostChecker(board)
+    health = HealthKeeper(board, resetter, host_checker, distances, link_mbps)
     fleet = make_fleet_keeper(board)
     draw, numbers = make_draw(seed), make_draw(f"numbers of {seed}")
     number = first_number(numbers)
@@ -343,7 +345,7 @@
         reroutings=Reroutings(board),
         sharer=sharer,
         informer=informer,
-        isolation=IsolationKeeper(board, health, sharer),
+        isolation=IsolationDetector(board, health, sharer),
         early=early,
         resting=RestingKeeper(board, codec, health, finder),
     )
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -8,9 +8,9 @@
 from notchhoist.flows.balancer.accepting import OfferOutcomes
 from notchhoist.flows.balancer.health import HealthKeeper
 from notchhoist.flows.balancer.informing import AgentInformer
-from notchhoist.flows.balancer.reaching import FlowReach
+from notchhoist.flows.balancer.locality import ZoneLocality
 from notchhoist.flows.balancer.resetting import FlowResetter
-from notchhoist.flows.balancer.targeting import note_placed, service_for
+from notchhoist.flows.balancer.targeting import count_new_flow, service_for
 from notchhoist.flows.boards.balancer_board import (
     BalancerBoard,
     Opening,
@@ -27,7 +27,7 @@
 from notchhoist.flows.model.wishes import Wish
 from notchhoist.flows.published.states import bound_of
 
-FLOWS_KEPT = 200_000
+PLACEMENTS_MAX = 200_000
 """Placements kept at the most; at 600 bytes each about 120 MB would be too
 much for a host of 128 MB, but 14 million flows over 580 hosts are 24,000."""
 
@@ -43,7 +43,7 @@
         draw: Random numbers in [0, 1).
         early: Tells whether a caller may have tried before.
         informer: Tells agents what they should know before they get a flow.
-        reach: Reckons with distances.
+        locality: Reckons with distances.
         outcomes: Takes account of what becomes of offers.
     """
 
@@ -54,7 +54,7 @@
     draw: Draw
     early: EarlyPackets
     informer: AgentInformer
-    reach: FlowReach
+    locality: ZoneLocality
     outcomes: OfferOutcomes
 
     def on_opening(self, route: Route, segment: Segment, now: float) -> None:
@@ -70,20 +70,20 @@
         if opening is None:
             opening = self._begin(route, segment, now)
             self.board.openings[flow] = opening
-        elif self._is_awaited(opening, now):
+        elif self._awaits_answer(opening, now):
             # A second server would open the flow too, and one in vain.
             return
         self.offer(opening, now)
 
-    def _is_awaited(self, opening: Opening, now: float) -> bool:
+    def _awaits_answer(self, opening: Opening, now: float) -> bool:
         """Tells whether an agent may still answer the last offer of a flow."""
-        waits = now < opening.sent_at + opening.wait_s
-        return self.board.uses.distances and waits
+        is_pending = now < opening.sent_at + opening.wait_s
+        return self.board.uses.distances and is_pending
 
     def _begin(self, route: Route, segment: Segment, now: float) -> Opening:
         since = now - segment.waited_s
         service = service_for(self.board, route, segment.flow, now)
-        note_placed(self.board, route, service)
+        count_new_flow(self.board, route, service)
         return Opening(
             asked_since=since,
             may_be_retry=self.early.may_be_retry(since),
@@ -102,20 +102,24 @@
         what is known of others is older than a request takes.
         """
         board = self.board
-        known = placing.open_to_new(
+        open_servers = placing.open_to_new(
             board.by_service.get(opening.service, []), board.view.evacuated
         )
-        servers = placing.usable(known, now)
-        few = placing.candidates(opening.segment.flow, known, board.zone)
-        few = [item for item in servers if item in few]
-        costs = self.reach.costs(few)
-        near = self._untried(opening, few)
-        if_free = bool(near) and self._asks_if_free(opening)
-        if_free = if_free and not self.reach.waits_near(opening, near, costs)
+        servers = placing.usable(open_servers, now)
+        shortlist = placing.candidates(
+            opening.segment.flow, open_servers, board.zone
+        )
+        shortlist = [item for item in servers if item in shortlist]
+        costs = self.locality.costs(shortlist)
+        untried = self._untried(opening, shortlist)
+        if_free = bool(untried) and self._offers_conditionally(opening)
+        if_free = if_free and not self.locality.prefers_local_queue(
+            opening, untried, costs
+        )
         choices = (
-            self.reach.first(opening, near, costs, now)
+            self.locality.servers_to_ask(opening, untried, costs, now)
             if if_free
-            else self._found_busy(opening, servers) or near
+            else self._busy_servers(opening, servers) or untried
         )
         choices = choices or self._untried(opening, servers)
         server = placing.choose(
@@ -128,22 +132,22 @@
             costs,
         )
         if server is None:
-            self._refuse(opening, len(servers), now)
+            self._reject(opening, len(servers), now)
             return
         self.outcomes.end_offer(opening)
         opening.if_free = if_free and bound_of(board, server).per_s == 0
-        self._log_offer(opening, server, len(choices), now)
+        self._record_offer(opening, server, len(choices), now)
         opening.tried.append(server.entry.server_id)
         opening.sent_at = now
-        opening.wait_s = self.reach.accept_wait_s(server)
+        opening.wait_s = self.locality.accept_wait_s(server)
         server.note_offer()
         self.informer.before_offer(server, now)
-        self._remember(opening, server, now)
+        self._record_placement(opening, server, now)
         age_s = now - opening.asked_since
         wish = opening.route.wish(age_s, opening.may_be_retry)
         self._send(server, opening.segment, wish, now, opening.if_free)
 
-    def _log_offer(
+    def _record_offer(
         self, opening: Opening, server: Server, choices: int, now: float
     ) -> None:
         again = len(opening.tried)
@@ -164,7 +168,7 @@
             found_busy=len(opening.busy),
         )
 
-    def _asks_if_free(self, opening: Opening) -> bool:
+    def _offers_conditionally(self, opening: Opening) -> bool:
         """Tells whether the next server gets a flow only if a slot is free."""
         board = self.board
         if not board.uses.if_free or opening.route.kind is RequestKind.UPLOAD:
@@ -172,7 +176,7 @@
         attempts = board.busy_shares.attempts(opening.service)
         return len(opening.busy) < attempts
 
-    def _found_busy(
+    def _busy_servers(
         self, opening: Opening, servers: Sequence[Server]
     ) -> list[Server]:
         """Returns the servers where a flow may wait, as it was told there.
@@ -193,7 +197,9 @@
             if server.entry.server_id not in opening.tried
         ]
 
-    def _remember(self, opening: Opening, server: Server, now: float) -> None:
+    def _record_placement(
+        self, opening: Opening, server: Server, now: float
+    ) -> None:
         flows = self.board.flows
         segment = opening.segment
         flows[segment.flow] = Placement(
@@ -204,7 +210,7 @@
             asked_since=opening.asked_since,
             used_since=float("inf"),
         )
-        if len(flows) > FLOWS_KEPT:
+        if len(flows) > PLACEMENTS_MAX:
             flows.popitem(last=False)
 
     def _send(
@@ -226,14 +232,14 @@
         self.board.outbox.append(SendAgent(server.entry.host, datagram))
         self.health.expect(server, now)
 
-    def _refuse(self, opening: Opening, willing: int, now: float) -> None:
+    def _reject(self, opening: Opening, willing: int, now: float) -> None:
         """Gives a flow up at once: nothing has run, the caller may retry."""
         board = self.board
         flow = opening.segment.flow
         self.outcomes.end_offer(opening)
         board.openings.pop(flow, None)
         board.flows.pop(flow, None)
-        if self.health.hears_nobody(now):
+        if self.health.are_all_agents_silent(now):
             # The caller's copies go to another balancer once routers notice.
             board.records.counters[Count.LEFT_TO_OTHERS] += 1
             board.records.decide(
@@ -257,11 +263,11 @@
         """Takes a flow back that a backend server did not take."""
         opening = self.board.openings.get(segment.flow)
         placement = self.board.flows.get(segment.flow)
-        here = placement is None or placement.server.entry.host == host
-        if opening is not None and here:
-            self.outcomes.observe(opening, "refused", now)
+        is_current = placement is None or placement.server.entry.host == host
+        if opening is not None and is_current:
+            self.outcomes.record_duration(opening, "refused", now)
             self.offer(opening, now)
-        elif placement is not None and here:
+        elif placement is not None and is_current:
             # It was accepted, but never got a slot; nothing has run.
             del self.board.flows[segment.flow]
             self.resetter.reset(segment, "no slot in time", server_host=host)
@@ -278,8 +284,8 @@
         counters[Count.FOUND_BUSY] += 1
         self.board.busy_shares.note(opening.service, busy=True)
         opening.busy.append(placement.server.entry.server_id)
-        self.outcomes.observe(opening, "busy", now)
-        self.outcomes.time(host, segment.flow, now)
+        self.outcomes.record_duration(opening, "busy", now)
+        self.outcomes.record_round_trip(host, segment.flow, now)
         self.offer(opening, now)
         if not opening.if_free:
             counters[Count.FOUND_NONE_FREE] += 1
@@ -293,16 +299,16 @@
 
     def tick(self, now: float) -> None:
         """Offers flows elsewhere whose agent has kept silent."""
-        late = [
+        overdue = [
             opening
             for opening in self.board.openings.values()
             if now >= opening.sent_at + opening.wait_s
         ]
-        for opening in late:
+        for opening in overdue:
             placement = self.board.flows.get(opening.segment.flow)
             if placement is not None:
                 self.health.suspect(placement.server, now, "no acceptance")
-            self.outcomes.observe(opening, "silent", now)
+            self.outcomes.record_duration(opening, "silent", now)
             self.offer(opening, now)
 
     def due(self) -> float:
@@ -344,6 +350,6 @@
         draw=draw,
         early=early,
         informer=informer,
-        reach=FlowReach(board, health.distances),
+        locality=ZoneLocality(board, health.distances),
         outcomes=OfferOutcomes(board, health.distances),
     )
--- a/notchhoist/flows/balancer/targeting.py
+++ b/notchhoist/flows/balancer/targeting.py
@@ -23,22 +23,22 @@
     """
     if not route.splits:
         return route.targets[0][0]
-    served = [
+    available = [
         (service, weight)
         for service, weight in route.targets
-        if weight and _is_served(board, service, now)
+        if weight and _has_live_server(board, service, now)
     ]
-    return pick_target(flow, served or route.targets)
+    return pick_target(flow, available or route.targets)
 
 
-def note_placed(board: BalancerBoard, route: Route, service: str) -> None:
+def count_new_flow(board: BalancerBoard, route: Route, service: str) -> None:
     """Counts a new flow of a route that splits."""
     counts = board.placed.get(route.service_key)
     if counts is not None:
         counts[service] += 1
 
 
-def _is_served(board: BalancerBoard, service: str, now: float) -> bool:
+def _has_live_server(board: BalancerBoard, service: str, now: float) -> bool:
     servers = board.by_service.get(service, ())
     return any(
         placing.is_willing(server, now) and not server.lost
--- a/notchhoist/flows/balancer/tests/test_distances.py
+++ b/notchhoist/flows/balancer/tests/test_distances.py
@@ -3,10 +3,10 @@
 import pytest
 
 from notchhoist.flows.balancer.distances import (
-    KEPT_S,
-    LEAST_SAMPLES,
-    LONGEST_S,
-    USUAL_ROUND_TRIP_S,
+    DEFAULT_ROUND_TRIP_S,
+    ESTIMATE_KEPT_S,
+    MAX_ROUND_TRIP_S,
+    MIN_SAMPLES,
     WINDOW_S,
     make_distances,
 )
@@ -21,7 +21,7 @@
 FAR = Server(entry(2, "b"), 0, 0.0)
 
 
-def measured(far_s=0.01, near_s=0.0004, count=LEAST_SAMPLES, now=100.0):
+def measured(far_s=0.01, near_s=0.0004, count=MIN_SAMPLES, now=100.0):
     distances = make_distances("a")
     for number in range(count):
         at = now + number / 100
@@ -38,13 +38,13 @@
 
 def test_it_is_unknown_at_first():
     distances = make_distances("a")
-    assert distances.round_trip_s(FAR) == USUAL_ROUND_TRIP_S
+    assert distances.round_trip_s(FAR) == DEFAULT_ROUND_TRIP_S
     assert distances.extra_s("b") == 0.0
 
 
 def test_a_few_answers_are_not_believed():
-    distances = measured(count=LEAST_SAMPLES - 1)
-    assert distances.round_trip_s(FAR) == USUAL_ROUND_TRIP_S
+    distances = measured(count=MIN_SAMPLES - 1)
+    assert distances.round_trip_s(FAR) == DEFAULT_ROUND_TRIP_S
 
 
 def test_servers_of_a_zone_are_equally_far():
@@ -69,10 +69,10 @@
     assert distances.round_trip_s(FAR) == pytest.approx(0.01)
 
 
-@pytest.mark.parametrize("trip_s", [0.0, -0.5, 2 * LONGEST_S])
+@pytest.mark.parametrize("trip_s", [0.0, -0.5, 2 * MAX_ROUND_TRIP_S])
 def test_a_clock_that_stood_still_measures_nothing(trip_s):
     distances = measured()
-    for _ in range(LEAST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         distances.note(FAR, 102.0 - trip_s, 102.0)
     assert distances.round_trip_s(FAR) == pytest.approx(0.01)
 
@@ -89,9 +89,9 @@
 
 def test_a_zone_that_is_silent_keeps_its_measure_for_a_while():
     distances = measured(now=100.0)
-    distances.sweep(100.0 + KEPT_S)
+    distances.sweep(100.0 + ESTIMATE_KEPT_S)
     assert distances.extra_s("b") > 0
-    distances.sweep(101.0 + KEPT_S)
+    distances.sweep(101.0 + ESTIMATE_KEPT_S)
     assert distances.extra_s("b") == 0.0
 
 
--- a/notchhoist/flows/balancer/tests/test_evacuating.py
+++ b/notchhoist/flows/balancer/tests/test_evacuating.py
@@ -1,6 +1,6 @@
 """Zones that are to get nothing new, and servers that are full."""
 
-from notchhoist.flows.balancer.informing import REPEAT_S
+from notchhoist.flows.balancer.informing import RESEND_AFTER_S
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendPeer
@@ -123,7 +123,7 @@
     assert {host for host, state in first if state.evacuated} == hosts
     confirmed = min(hosts)
     node.on_peer(confirmed, LoadTell(0, 0, 0, False, 2), 0.51)
-    again = told(node.tick(0.501 + REPEAT_S))
+    again = told(node.tick(0.501 + RESEND_AFTER_S))
     assert {host for host, _ in again} == hosts - {confirmed}
 
 
@@ -142,7 +142,7 @@
         for n in range(50)
     ]
     assert sum(len(answer) for answer in answers) == 0
-    late = node.on_peer(host, LoadTell(0, 0, 0, False), 0.501 + REPEAT_S)
+    late = node.on_peer(host, LoadTell(0, 0, 0, False), 0.501 + RESEND_AFTER_S)
     assert len(told(late)) == 1
 
 
--- a/notchhoist/flows/balancer/tests/test_liveness.py
+++ b/notchhoist/flows/balancer/tests/test_liveness.py
@@ -2,7 +2,10 @@
 
 import pytest
 
-from notchhoist.flows.balancer.liveness import AWAY_S, CHECKS_MAX
+from notchhoist.flows.balancer.liveness import (
+    AWAY_AFTER_REFUSAL_S,
+    CONCURRENT_CHECKS_MAX,
+)
 from notchhoist.flows.decisions.ending import GONE_S, LEFT_S
 from notchhoist.flows.model.effects import CheckHost, Reach, SendPeer
 from notchhoist.flows.model.messages import LoadTell
@@ -90,9 +93,9 @@
     silent = Silent(Reach.REFUSED)
     silent.run(2.0)
     silent.reach = Reach.SILENT
-    silent.run(2.0 + AWAY_S - 0.1)
+    silent.run(2.0 + AWAY_AFTER_REFUSAL_S - 0.1)
     assert silent.resets == 0
-    silent.run(2.0 + AWAY_S + 0.2)
+    silent.run(2.0 + AWAY_AFTER_REFUSAL_S + 0.2)
     assert silent.resets == 1
 
 
@@ -102,7 +105,7 @@
         node.health.suspect(server, 0.0, "test")
     effects = node.tick(0.3)
     checks = [item for item in effects if isinstance(item, CheckHost)]
-    assert len(checks) == CHECKS_MAX
+    assert len(checks) == CONCURRENT_CHECKS_MAX
 
 
 def publish(silent, draining, listed):
--- a/notchhoist/flows/balancer/tests/test_reaching.py
+++ b/notchhoist/flows/balancer/tests/test_locality.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from notchhoist.flows.balancer.distances import LEAST_SAMPLES
+from notchhoist.flows.balancer.distances import MIN_SAMPLES
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.fleet import RequestKind
@@ -30,7 +30,7 @@
         server.pace_ms = pace_ms
         server.heard_at = 0.0
         trip_s = 0.0004 if server.entry.zone == "a" else far_s
-        for _ in range(LEAST_SAMPLES):
+        for _ in range(MIN_SAMPLES):
             node.health.distances.note(server, 0.0, trip_s)
     return node
 
@@ -120,10 +120,10 @@
     servers = list(node.board.servers.values())
     for server in servers:
         server.running = 1
-    before = node.opener.reach.costs(servers)["b"].flows
+    before = node.opener.locality.costs(servers)["b"].flows
     for number in range(20):
         node.board.busy_shares.note(crafting.SERVICE, busy=number % 5 == 0)
-    assert node.opener.reach.costs(servers)["b"].flows > before
+    assert node.opener.locality.costs(servers)["b"].flows > before
 
 
 def test_without_a_near_server_others_are_asked():
