--- a/notchhoist/flows/balancer/__init__.py
+++ b/notchhoist/flows/balancer/__init__.py
@@ -1,23 +1,26 @@
-"""The balancer's controllers and its node.
+"""Controllers of the balancer and the node that combines them.
 
-From the top down, each module imports only those above it:
+The modules in dependency order; each imports only modules listed before it:
 
-* ``resetting``: ends flows; ``confirming``: asks the platform for what is new.
-* ``distances``: how far agents are.
-* ``liveness``, ``health``, ``isolation``: who is there.
-* ``informing``: tells agents what is published of their servers.
-* ``targeting``: the service of a new flow; ``locality``: how far it is sent;
-  ``accepting``: what becomes of an offer; ``opening``: new flows.
-* ``forwarding``: packets of flows that are placed.
+* ``resetting``: resets flows; ``confirming``: asks the platform to confirm the
+  list of servers.
+* ``distances``: round-trip times to agents.
+* ``liveness``, ``health``, ``isolation``: failure detection for hosts, agents
+  and this balancer.
+* ``informing``: sends agents the published state of their servers.
+* ``targeting``: chooses the service of a new flow; ``locality``: weighs the
+  network distance of servers; ``accepting``: outcomes of offers; ``opening``:
+  places new flows.
+* ``forwarding``: forwards packets of placed flows.
 * ``questions``, ``trying``, ``evidence``, ``scope``, ``search_records``,
-  ``finding``: flows that are not known here; ``rejoining``: what becomes of
-  them once they are found.
-* ``resting``: flows whose server ends while they rest.
-* ``node``: puts them together.
+  ``finding``: search for flows that this balancer does not know; ``rejoining``:
+  handles flows once they are found.
+* ``resting``: idle flows whose server may be down.
+* ``node``: combines the controllers.
 
-A caller's packet is kept by ``decisions.early`` until routes and servers are
-known. Then ``opening`` takes it if it opens a flow, ``forwarding`` if its flow
-is placed, and ``finding`` otherwise. An agent's packet first tells ``health``
-that the agent lives; an answer to an offer then goes to ``opening``, and all
-else to ``finding``.
+``decisions.early`` buffers a caller's packet until routes and servers are
+known. The packet then goes to ``opening`` if it opens a flow, to ``forwarding``
+if its flow is placed, and to ``finding`` otherwise. A packet from an agent
+first tells ``health`` that the agent is alive; the answer to an offer then goes
+to ``accepting`` or ``opening``, everything else to ``finding``.
 """
--- a/notchhoist/flows/balancer/accepting.py
+++ b/notchhoist/flows/balancer/accepting.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for what becomes of its offers."""
+"""Balancer controller for the outcomes of offers."""
 
 from msgspec import Struct
 
@@ -9,18 +9,18 @@
 
 
 class OfferOutcomes(Struct, eq=False):
-    """Takes account of answers to offers.
+    """Processes the answers to offers.
 
     Attributes:
-        board: What the balancer knows.
-        distances: Is told what answers take.
+        board: State of the balancer.
+        distances: Gets the round-trip times of answers.
     """
 
     board: BalancerBoard
     distances: Distances
 
     def on_accepted(self, host: str, segment: Segment, now: float) -> None:
-        """Takes word that a backend server accepted a flow."""
+        """Handles an agent's report that its backend server accepted a flow."""
         self.record_round_trip(host, segment.flow, now)
         self._accept(host, segment, now)
         placement = self.board.flows.get(segment.flow)
@@ -28,10 +28,12 @@
             placement.inferred = False
 
     def on_data_before_acceptance(self, segment: Segment, now: float) -> None:
-        """Takes a packet that a caller sends once its flow is accepted.
+        """Infers an acceptance from data that the caller sends.
 
-        Where only one server can have accepted, word of that may be lost, and
-        an offer to another one would open the flow there too.
+        A caller sends such a packet only once its flow is accepted, but the
+        agent's report of that may be lost, and another offer would then open
+        the flow at a second server as well. The acceptance is inferred only
+        where exactly one server can have accepted.
         """
         board = self.board
         opening = board.openings.get(segment.flow)
@@ -68,7 +70,7 @@
             placement.accepted = True
 
     def record_round_trip(self, host: str, flow: bytes, now: float) -> None:
-        """Takes the time of an agent's answer to the last offer of a flow."""
+        """Records the round-trip time of an answer to a flow's last offer."""
         opening = self.board.openings.get(flow)
         placement = self.board.flows.get(flow)
         if opening is None or placement is None:
@@ -79,13 +81,13 @@
     def record_duration(
         self, opening: Opening, outcome: str, now: float
     ) -> None:
-        """Counts what the last offer of a flow took."""
+        """Records how long the last offer of a flow took."""
         self.board.records.observe(
             Timing.OPENING, opening.service, outcome, now - opening.sent_at
         )
 
     def end_offer(self, opening: Opening) -> None:
-        """Counts the last offer of a flow no longer."""
+        """Stops counting the last offer of a flow as load of its server."""
         if not opening.tried:
             return
         server = self.board.servers.get(opening.tried[-1])
--- a/notchhoist/flows/balancer/distances.py
+++ b/notchhoist/flows/balancer/distances.py
@@ -1,13 +1,15 @@
-"""How far agents are, by what their answers take.
-
-Needed where zones are as far apart as a request takes. A balancer
-times words that it sends anyway: a question for a load, a numbered question for
-flows, an offer that came back because no slot was free. Servers of a zone are
-equally far, so what is measured at one counts for all of its zone.
-
-An answer takes longer where an agent or this process was busy, never less than
-the way there and back. So the least of a window counts, or rather the second
-least: a word that is taken for the answer to a later question seems too quick.
+"""Network distances of availability zones: round-trip times to agents.
+
+They matter where a round trip between zones takes as long as a request. Only
+messages that are sent anyway are timed: load probes, numbered queries for
+flows, and offers that come back because no slot was free. Servers of one zone
+are taken to be equally far, so a sample from one of them counts for its whole
+zone.
+
+An answer takes longer if the agent or this process is busy, but never less than
+the round trip. The estimate is therefore the minimum over a sliding window, or
+rather the second smallest sample: a message that is mistaken for the answer to
+a later request gives a sample that is too short.
 """
 
 from msgspec import Struct, field
@@ -15,39 +17,39 @@
 from notchhoist.flows.model.fleet import Server
 
 DEFAULT_ROUND_TRIP_S = 0.003
-"""A round trip that was not measured yet, seconds."""
+"""Round-trip time assumed before one is measured, seconds."""
 
 WINDOW_S = 10.0
-"""Length of a window, seconds. The least of this one and the last one counts,
-so a way that has become longer is noticed after two of them."""
+"""Length of a window, seconds. The minimum is taken over the current window and
+the previous one, so a longer path is noticed after two windows."""
 
 MIN_SAMPLES = 4
-"""Answers of a zone before its distance counts as known. A process that has
-just started reads its first answers late."""
+"""Samples of a zone before its round-trip time counts as known. A process that
+has just started reads its first answers late."""
 
 AGREEMENT_FACTOR = 1.5
 AGREEMENT_SLACK_S = 0.001
-"""The two quickest answers agree if the second took no more than this many
-times as long, and this much, seconds. Waits in links and processes differ from
-one answer to the next; a distance does not."""
+"""The two smallest samples agree if the second is at most this many times the
+first plus this many seconds. Delays in links and processes vary from one answer
+to the next; the network distance does not."""
 
 MAX_ROUND_TRIP_S = 1.0
-"""Answers that took longer tell of a stall, not of a distance, seconds."""
+"""Longer samples show a stall, not a distance, and are ignored, seconds."""
 
 ESTIMATE_KEPT_S = 60.0
-"""A measure is forgotten when nothing has confirmed it for so long, seconds.
-Constants decide then, and flows that go to that zone measure it again."""
+"""An estimate without a new sample for this long is discarded, seconds.
+Decisions then use constants, and flows placed in that zone measure it again."""
 
 UNKNOWN = float("inf")
 
 
 class Window(Struct, eq=False):
-    """The two quickest answers of a time.
+    """The two smallest round-trip samples of a time window.
 
     Attributes:
-        min_s: What the quickest one took, seconds.
-        second_min_s: The same for the next one.
-        count: How many answers there were.
+        min_s: The smallest sample, seconds.
+        second_min_s: The second smallest sample, seconds.
+        count: Number of samples.
     """
 
     min_s: float = UNKNOWN
@@ -55,7 +57,7 @@
     count: int = 0
 
     def add(self, sample_s: float) -> None:
-        """Takes account of an answer."""
+        """Adds a round-trip sample."""
         self.count += 1
         if sample_s < self.min_s:
             self.min_s, self.second_min_s = sample_s, self.min_s
@@ -64,14 +66,14 @@
 
 
 class ZoneTrips(Struct, eq=False):
-    """Round trips to one availability zone.
+    """Round-trip time to one availability zone.
 
     Attributes:
-        window: Answers since ``window_began_at``.
-        before: Answers of the window before.
-        window_began_at: When the window began, seconds.
-        measured_at: When the last answer came, seconds.
-        trip_s: The round trip as measured, seconds; ``UNKNOWN`` at first.
+        window: Samples since ``window_began_at``.
+        before: Samples of the previous window.
+        window_began_at: When the current window began, seconds.
+        measured_at: When the last sample was taken, seconds.
+        trip_s: The estimated round-trip time, seconds; ``UNKNOWN`` at first.
     """
 
     window: Window = field(default_factory=Window)
@@ -81,7 +83,7 @@
     trip_s: float = UNKNOWN
 
     def add(self, sample_s: float, now: float) -> None:
-        """Takes account of an answer."""
+        """Adds a round-trip sample and updates the estimate."""
         elapsed_s = now - self.window_began_at
         if elapsed_s >= WINDOW_S:
             self.before = self.window if elapsed_s < 2 * WINDOW_S else Window()
@@ -92,7 +94,7 @@
         self._update_estimate()
 
     def _update_estimate(self) -> None:
-        """Takes the second least answer, if there are enough that agree."""
+        """Takes the second smallest sample if enough samples agree."""
         if self.window.count + self.before.count < MIN_SAMPLES:
             return
         low, high = sorted((self.window, self.before), key=_min_s)
@@ -107,25 +109,26 @@
 
 
 class Distances(Struct, eq=False):
-    """Knows what a word to an agent and back takes.
+    """Round-trip times from this balancer to the agents of each zone.
 
     Attributes:
         zone: Availability zone of the balancer.
-        by_zone: What was measured, by availability zone.
+        by_zone: Round-trip times by availability zone.
     """
 
     zone: str = ""
     by_zone: dict[str, ZoneTrips] = field(default_factory=dict)
 
     def round_trip_s(self, server: Server) -> float:
-        """Returns the time of a round trip to a server's agent, seconds."""
+        """Returns the round-trip time to a server's agent, seconds."""
         trip_s = self._estimate_s(server.entry.zone)
         return trip_s if trip_s < UNKNOWN else DEFAULT_ROUND_TRIP_S
 
     def extra_s(self, zone: str) -> float:
-        """Returns what a round trip to a zone takes beyond one in the own zone.
+        """Returns the additional round-trip time to a zone, seconds.
 
-        It is 0 while one of them is not known.
+        This is the difference to the round-trip time within the local zone, or
+        0 while either of them is unknown.
         """
         own_s, trip_s = self._estimate_s(self.zone), self._estimate_s(zone)
         if UNKNOWN in (own_s, trip_s):
@@ -137,11 +140,11 @@
         return trips.trip_s if trips is not None else UNKNOWN
 
     def note(self, server: Server, sent_at: float, now: float) -> None:
-        """Takes account of an answer to a word that was sent once.
+        """Adds the round-trip time of a message that was sent only once.
 
         Args:
-            server: Whose agent has answered.
-            sent_at: When the word was sent, seconds.
+            server: The server whose agent answered.
+            sent_at: When the message was sent, seconds.
             now: Runtime clock, seconds.
         """
         trip_s = now - sent_at
@@ -154,14 +157,14 @@
         trips.add(trip_s, now)
 
     def sweep(self, now: float) -> None:
-        """Forgets zones that nothing was heard of for long."""
+        """Discards estimates of zones without a recent sample."""
         for zone, trips in list(self.by_zone.items()):
             if now - trips.measured_at > ESTIMATE_KEPT_S:
                 del self.by_zone[zone]
 
 
 def make_distances(zone: str) -> Distances:
-    """Makes the distances of a balancer that has measured nothing yet.
+    """Creates the distances of a balancer, all of them unknown.
 
     Args:
         zone: Availability zone of the balancer.
--- a/notchhoist/flows/balancer/forwarding.py
+++ b/notchhoist/flows/balancer/forwarding.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for callers' packets of flows that are placed."""
+"""Balancer controller that forwards callers' packets of placed flows."""
 
 from msgspec import Struct
 
@@ -13,12 +13,12 @@
 
 
 class FlowForwarder(Struct, eq=False):
-    """Sends packets to the agents beside the servers of their flows.
+    """Forwards packets to the agents of the servers that hold their flows.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
+        health: Monitors the health of agents.
     """
 
     board: BalancerBoard
@@ -28,11 +28,11 @@
     def forward(
         self, route: Route, placement: Placement, segment: Segment, now: float
     ) -> None:
-        """Sends a packet on.
+        """Forwards a packet.
 
         Args:
-            route: Route of its flow.
-            placement: Where the flow is.
+            route: Route of the flow.
+            placement: Placement of the flow.
             segment: The packet.
             now: Runtime clock, seconds.
         """
@@ -56,7 +56,7 @@
 def _wish(
     route: Route, placement: Placement, segment: Segment, now: float
 ) -> Wish:
-    """Returns what the agent is told of a flow's next request."""
+    """Returns the request hints that the packet carries to the agent."""
     since = placement.asked_since
     if since is None:
         return route.wish()
--- a/notchhoist/flows/balancer/health.py
+++ b/notchhoist/flows/balancer/health.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for the health of agents, by what they answer."""
+"""Balancer controller that monitors the health of agents by their answers."""
 
 from msgspec import Struct, field
 
@@ -14,63 +14,67 @@
 from notchhoist.flows.published.states import concerns_agent, state_of
 
 LOAD_FRESH_S = 0.5
-"""An agent that was heard within this time is not asked for its load."""
+"""An agent that was heard within this time is not probed for its load."""
 
 PROBES_PER_S = 100
-"""Questions for loads in a second at the most, also to thousands of servers:
-with the answers 15 KB/s of the 29 KB/s that control may take."""
+"""Maximum rate of load probes, also to thousands of servers. With the answers
+they take 15 KB/s of the 29 KB/s available to control traffic."""
 
 DOUBT_S = 0.1
-"""An agent that was heard within this time is not asked because of a copy."""
+"""An agent that was heard within this time is not probed on a retransmission.
+"""
 
 PROBE_EVERY_S = 0.15
-"""Time between two probes of an agent that owes an answer, seconds."""
+"""Interval between probes of an agent that owes an answer, seconds."""
 
 SUSPECT_AFTER_S = 0.15
-"""Silence after a probe before an agent gets no new flows; 50 round trips."""
+"""Silence after a probe before an agent gets no new flows, seconds; 50 round
+trips."""
 
 STALL_S = 0.4
-"""While agents owe answers, silence is judged every 0.15 s. A judgement that
-comes later than this was held up in this process, seconds: it was paused, or
-had no processor time, perhaps between reading the answers and judging."""
+"""While agents owe answers, silence is evaluated every 0.15 s. An evaluation
+that comes later than this, seconds, shows that this process was stalled: it was
+paused or got no CPU time, possibly between reading answers and evaluating."""
 
 LOST_AFTER_S = 0.9
-"""Silence after a probe before an agent's flows are given up: seven probes
-unanswered, which a loss of 3% brings about once in 10**9 times."""
+"""Silence after a probe before an agent is declared lost, seconds: seven
+unanswered probes, which a packet loss of 3% causes once in 10**9 times."""
 
 LOW_BANDWIDTH_MBPS = 20
-"""A link below this is filled by a few uploads of 40 to 240 KB at once, Mbit/s;
-answers of agents that live are then lost for a second and more."""
+"""A few concurrent uploads of 40 to 240 KB saturate a link below this
+bandwidth, Mbit/s; answers of live agents are then lost for a second and more.
+"""
 
 LOW_BANDWIDTH_SUSPECTS = 2
 LOW_BANDWIDTH_LOST_AFTER_S = 2.4
-"""On a narrow link, with more suspects than that, agents are silent this long
-before their flows are given up, seconds."""
+"""Silence before an agent is declared lost if this host's link has low
+bandwidth and more than ``LOW_BANDWIDTH_SUSPECTS`` agents are suspected,
+seconds."""
 
 IDLE_AFTER_S = 1.0
-"""A flow without a packet for so long rests, seconds: a caller that waits sends
-copies."""
+"""A flow without a packet for this long is idle, seconds: a caller that waits
+for an answer retransmits."""
 
 RESTART_WAIT_S = 3.0
-"""How long an agent that announced a restart is waited for, seconds."""
+"""How long to wait for an agent that has announced a restart, seconds."""
 
 
 class HealthKeeper(Struct, eq=False):
-    """Keeps loads fresh and notices agents that have gone silent.
+    """Keeps reported loads fresh and detects silent agents.
 
-    An agent is asked only while packets go to it, so an idle fleet costs
-    nothing.
+    An agent is probed only while packets are sent to it, so an idle fleet
+    causes no probe traffic.
 
     Attributes:
-        board: What the balancer knows.
-        resetter: Ends flows.
-        host_checker: Tells agents that are restarted from hosts that are lost.
-        distances: Is told what answers take.
-        link_mbps: What this host's link carries, Mbit/s; 0 if unknown.
+        board: State of the balancer.
+        resetter: Resets flows.
+        host_checker: Tells restarting agents from lost hosts.
+        distances: Gets the round-trip times of probes.
+        link_mbps: Bandwidth of this host's link, Mbit/s; 0 if unknown.
         awaiting_reply: Servers whose agents owe an answer, by id.
         heard_at: When any agent was last heard, seconds.
-        last_tick_at: When silence was last judged, seconds.
-        detection_resumes_at: Silence is judged again from then on, seconds.
+        last_tick_at: When silence was last evaluated, seconds.
+        detection_resumes_at: Silence is ignored until then, seconds.
     """
 
     board: BalancerBoard
@@ -84,18 +88,22 @@
     detection_resumes_at: float = float("-inf")
 
     def expect(self, server: Server, now: float) -> None:
-        """Notes that a packet went to a server; asks if its load is old."""
+        """Handles a packet sent to an agent; probes it if its load is old."""
         interval_s = max(LOAD_FRESH_S, len(self.board.by_host) / PROBES_PER_S)
         if server.probed_at is None and now - server.heard_at > interval_s:
             self._probe(server, now)
 
     def on_retransmission(self, server: Server, now: float) -> None:
-        """Takes account of a copy: what went before may not have arrived."""
+        """Probes an agent, as a retransmission may show a lost packet."""
         if server.probed_at is None and now - server.heard_at > DOUBT_S:
             self._probe(server, now)
 
     def probe(self, server: Server, now: float) -> bool:
-        """Asks an agent for a sign of life unless it owes one already."""
+        """Probes an agent unless it already owes an answer.
+
+        Returns:
+            Whether a probe was sent.
+        """
         if server.probed_at is not None:
             return False
         self._probe(server, now)
@@ -115,7 +123,7 @@
         self.board.outbox.append(SendPeer(server.entry.host, message))
 
     def on_heard(self, host: str, load: Load, now: float) -> None:
-        """Takes a sign of life with the load."""
+        """Handles any message of an agent, all of which report its load."""
         server = self.board.by_host.get(host)
         if server is None:
             return
@@ -135,7 +143,7 @@
         server.note_load(load.flows, load.running, load.pace_ms)
 
     def on_load_tell(self, host: str, message: LoadTell, now: float) -> None:
-        """Takes an agent's answer to a question for its load."""
+        """Handles an agent's answer to a load probe."""
         load = Load(message.flows, message.running, message.pace_ms)
         server = self.board.by_host.get(host)
         if server is not None and not message.stopping:
@@ -146,16 +154,16 @@
             server.suspected = True
 
     def _record_round_trip(self, server: Server, now: float) -> None:
-        """Takes the time of a probe that was sent once.
+        """Records the round-trip time of a probe that was sent only once.
 
-        Probes have no numbers: an answer to one of several tells nothing.
+        Probes are not numbered, so an answer to one of several cannot be timed.
         """
         sent_at = server.probe_sent_at
         if server.probed_at is not None and server.probed_at == sent_at:
             self.distances.note(server, sent_at, now)
 
     def suspect(self, server: Server, now: float, reason: str) -> None:
-        """Gives a server no new flows until its agent is heard again."""
+        """Stops new flows to a server until its agent is heard again."""
         if server.probed_at is None:
             self._probe(server, now)
         if server.suspected:
@@ -172,16 +180,16 @@
         )
 
     def are_all_agents_silent(self, now: float) -> bool:
-        """Tells whether agents owe answers and none of them is heard."""
+        """Tells whether agents owe answers and none was heard lately."""
         return (
             bool(self.awaiting_reply) and now - self.heard_at >= SUSPECT_AFTER_S
         )
 
     def _hears_enough_agents(self, now: float) -> bool:
-        """Tells whether silence is the agents' and not this host's.
+        """Tells whether silence is caused by the agents and not by this host.
 
-        A host whose own link is full or cut hears nobody; it must not give up
-        everybody's flows.
+        A host whose own link is saturated or cut hears no agent; it must not
+        reset the flows of all of them.
         """
         since = now - LOST_AFTER_S
         heard = sum(
@@ -194,7 +202,7 @@
         return silent <= heard
 
     def tick(self, now: float) -> None:
-        """Probes again, suspects, and gives up."""
+        """Repeats probes, suspects silent agents and declares lost ones."""
         self._detect_stall(now)
         detects = now >= self.detection_resumes_at
         trusts_silence = detects and self._hears_enough_agents(now)
@@ -219,7 +227,7 @@
                 self._probe(server, now)
 
     def _lost_after_s(self) -> float:
-        """Returns how long an agent must be silent to be given up, seconds."""
+        """Returns the silence after which an agent is lost, seconds."""
         suspects = sum(item.suspected for item in self.awaiting_reply.values())
         narrow = 0 < self.link_mbps < LOW_BANDWIDTH_MBPS
         narrow = narrow and self.board.uses.narrow_patience
@@ -228,9 +236,10 @@
         return LOST_AFTER_S
 
     def _detect_stall(self, now: float) -> None:
-        """Notices that this process itself stood still for a while.
+        """Detects that this process was stalled.
 
-        Answers that came meanwhile wait to be read; nobody is judged before.
+        Answers that arrived meanwhile are still unread, so silence is not
+        evaluated until they have been read.
         """
         stalled = now - self.last_tick_at > STALL_S
         if self.awaiting_reply and stalled:
@@ -240,13 +249,13 @@
     def give_up(
         self, server: Server, now: float, reason: str, **inputs: object
     ) -> None:
-        """Resets the flows of a server that is dead or cut off.
+        """Resets the flows of a server that is down or unreachable.
 
         Args:
             server: The server.
             now: Runtime clock, seconds.
-            reason: Why, for the log.
-            inputs: What decided it, for the log.
+            reason: Reason for the log.
+            inputs: Facts behind the decision, for the log.
         """
         if not server.lost:
             server.lost = True
--- a/notchhoist/flows/balancer/informing.py
+++ b/notchhoist/flows/balancer/informing.py
@@ -1,9 +1,10 @@
-"""A balancer's controller that tells agents what is published of their servers.
+"""Balancer controller that sends agents the published state of their servers.
 
-An agent reads nothing itself, and it is the second line of defence: it hands
-back flows that come for an evacuated zone from a balancer that does not know
-yet, and it alone sees how much a cold server gets. The balancers that read the
-platform tell it first; the others with their questions.
+Agents do not read the platform's store, yet they are the second line of
+defence: an agent hands back flows that a balancer with an outdated view places
+in an evacuated zone, and only the agent sees the total rate of new flows that a
+cold server gets. The balancers that read the store inform the agents first;
+other balancers add the state to their load probes.
 """
 
 from msgspec import Struct, field
@@ -16,21 +17,21 @@
 from notchhoist.flows.published.states import concerns_agent, state_of
 
 RESEND_AFTER_S = 0.2
-"""Time until an agent that has not confirmed is told again, seconds: 60 round
-trips, and a twenty-fifth of the shortest bound of an evacuation, 5 s."""
+"""Time until a state that an agent has not confirmed is sent again, seconds: 60
+round trips, and a twenty-fifth of the shortest bound on an evacuation, 5 s."""
 
 SENDS_MAX = 10
-"""How often an agent is told without a word from it; it hears the news from
-whoever sends it the next flow, too."""
+"""Maximum number of messages to an agent that does not confirm. It also gets
+the state from any balancer that sends it the next flow."""
 
 
 class PendingState(Struct, eq=False):
-    """What one agent is being told.
+    """A published state that an agent has not confirmed.
 
     Attributes:
-        server: Its backend server.
-        due: When to tell it next, seconds.
-        sends: How often it was told.
+        server: The agent's backend server.
+        due: When to send the state next, seconds.
+        sends: How often it was sent.
     """
 
     server: Server
@@ -39,13 +40,13 @@
 
 
 class AgentInformer(Struct, eq=False):
-    """Tells agents of evacuations, of cold servers and of new incarnations.
+    """Informs agents of evacuations, cold servers and new incarnations.
 
     Attributes:
-        board: What the balancer knows.
-        sharer: Knows whether this balancer reads the platform.
+        board: State of the balancer.
+        sharer: Tells whether this balancer reads the platform's store.
         queued_revision: View revision up to which changes have been queued.
-        pending: Agents that have not confirmed, by id of the server.
+        pending: Agents that have not confirmed, by server id.
     """
 
     board: BalancerBoard
@@ -54,7 +55,7 @@
     pending: dict[str, PendingState] = field(default_factory=dict)
 
     def tick(self, now: float) -> None:
-        """Tells agents what has changed, again where they keep silent."""
+        """Sends changed states, and repeats those that are not confirmed."""
         if self.board.view.revision != self.queued_revision:
             self._queue_changes(now)
         for server_id, update in list(self.pending.items()):
@@ -65,7 +66,7 @@
                 self._send_pending(update, now)
 
     def _queue_changes(self, now: float) -> None:
-        """Notes which agents the newest changes concern."""
+        """Queues the states of agents that the newest changes concern."""
         previous, self.queued_revision = (
             self.queued_revision,
             self.board.view.revision,
@@ -86,7 +87,7 @@
         self.send_state(update.server, now)
 
     def send_state(self, server: Server, now: float) -> None:
-        """Tells an agent what is published of its server."""
+        """Sends an agent the published state of its server."""
         state = state_of(self.board, server, now)
         server.state_told = state.revision
         server.told_at = now
@@ -94,17 +95,18 @@
         self.board.outbox.append(SendPeer(server.entry.host, message))
 
     def before_offer(self, server: Server, now: float) -> None:
-        """Tells an agent what it may not know before it gets a flow.
+        """Sends an agent the state that it may lack before it gets a flow.
 
-        Only where it matters: the codec that a message needs takes a thin host
-        0.2 s to load, and the first flow would wait for it.
+        This is done only where the state matters: loading the message codec
+        takes 0.2 s on a host with little CPU, and the first flow would wait for
+        it.
         """
         newest = self.board.view.state_revision(server.entry)
         if server.state_told < newest and concerns_agent(self.board, server):
             self.send_state(server, now)
 
     def on_load_tell(self, host: str, message: LoadTell, now: float) -> None:
-        """Takes account of what an agent knows; tells it what it does not."""
+        """Handles an agent's report of the state revision that it has."""
         server = self.board.by_host.get(host)
         if server is None or not concerns_agent(self.board, server):
             return
@@ -114,7 +116,7 @@
         elif (
             now - server.told_at >= RESEND_AFTER_S or server.state_told < newest
         ):
-            # An agent of an earlier version never says what it knows.
+            # Agents of earlier versions never report a state revision.
             self.send_state(server, now)
 
     def due(self) -> float:
--- a/notchhoist/flows/balancer/isolation.py
+++ b/notchhoist/flows/balancer/isolation.py
@@ -1,8 +1,9 @@
-"""A balancer's controller that notices when it is cut off from everybody.
+"""Balancer controller that detects that this balancer is isolated.
 
-A balancer that hears no agent can serve nobody, while routers go on handing it
-its share of the flows. If it hears no other balancer either, the others are
-likely to be better off: it says that it is not ready until it hears somebody.
+A balancer that receives nothing from any agent cannot serve flows, while
+routers still send it its share of them. If it receives nothing from other
+balancers either, it is probably the one that is cut off. It then reports that
+it is not ready until it receives a message again.
 """
 
 from msgspec import Struct
@@ -13,29 +14,29 @@
 from notchhoist.flows.published.sharing import ViewSharer
 
 ASK_BALANCERS_AFTER_S = 0.15
-"""Silence of every agent before other balancers are asked, seconds: when a
-single agent would be suspected."""
+"""Silence of all agents after which other balancers are queried, seconds; equal
+to the silence after which a single agent is suspected."""
 
 ISOLATED_AFTER_S = 0.3
-"""Silence of them, too, seconds: two questions and a hundred round trips.
-Routers need a second more to look elsewhere."""
+"""Silence of the other balancers after which this one is isolated, seconds: two
+queries and a hundred round trips. Routers take another second to react."""
 
 SILENT_AGENTS_MIN = 3
-"""Agents that owe an answer before their silence says something of this host;
-fewer where the fleet has fewer."""
+"""Agents that must owe an answer before their silence is attributed to this
+host; fewer if the fleet has fewer agents."""
 
 ASK_BALANCERS_EVERY_S = 1.0
-"""While other balancers answer they are asked this often, seconds."""
+"""Interval between queries while other balancers answer, seconds."""
 
 
 class IsolationDetector(Struct, eq=False):
-    """Decides whether this balancer is cut off.
+    """Decides whether this balancer is isolated.
 
     Attributes:
-        board: What the balancer knows.
-        health: Knows which agents are silent.
-        sharer: Knows which balancers are.
-        asked_at: When the other balancers were first asked, or None.
+        board: State of the balancer.
+        health: Tells which agents are silent.
+        sharer: Tells when another balancer was last heard.
+        asked_at: When the other balancers were first queried, seconds, or None.
     """
 
     board: BalancerBoard
@@ -44,7 +45,11 @@
     asked_at: float | None = None
 
     def tick(self, now: float) -> None:
-        """Looks again; ``HealthKeeper`` asks for ticks while agents owe."""
+        """Updates the decision; ``HealthKeeper`` is due while agents owe.
+
+        Its ``due`` asks for ticks as long as it awaits replies, so this
+        controller needs none of its own.
+        """
         uses = self.board.uses
         if not uses.isolation or not self._agents_are_silent(now):
             self._set_isolated(False, now)
--- a/notchhoist/flows/balancer/liveness.py
+++ b/notchhoist/flows/balancer/liveness.py
@@ -1,10 +1,10 @@
-"""A balancer's controller that tells a restarting agent from a dead host.
+"""Balancer controller that tells a restarting agent from a lost host.
 
-An agent may be stopped and started beside a backend server that lives on with
-all its flows. Its silence then looks like the loss of its host, but a host that
-has power refuses a connection to a port where nobody listens; one without power
-or behind a cut says nothing. Only silence of both kinds shows that flows are
-lost.
+An agent may restart beside a backend server that keeps running with all its
+flows. Its silence looks like the loss of its host, but a running host refuses
+connections to a port without a listener, whereas a host that is powered off or
+unreachable does not answer at all. Flows count as lost only if both the agent
+and its host stay silent.
 """
 
 from msgspec import Struct, field
@@ -16,32 +16,33 @@
 from notchhoist.flows.model.records import Count
 
 CHECK_PAUSE_S = 0.02
-"""Time between two checks of one host, seconds. With a wait of 0.25 s each,
-three end before an agent's flows are given up after 0.9 s, so one lost opening
-packet decides nothing."""
+"""Minimum time between two checks of one host, seconds. With a timeout of 0.25
+s per check, three checks end before an agent's flows are declared lost after
+0.9 s, so a single lost SYN does not decide."""
 
 CONCURRENT_CHECKS_MAX = 32
-"""Checks at one time: 100 a second where a zone is dark, about 20 KB/s and half
-a millisecond of processor time each on the thinnest host."""
+"""Maximum number of concurrent checks: 100 a second while a zone is
+unreachable, about 20 KB/s and half a millisecond of CPU time each on the
+smallest host."""
 
 AWAY_AFTER_REFUSAL_S = 1.0
-"""An agent whose host refused a connection counts as away for so long, seconds;
-the next check ends long before."""
+"""How long an agent counts as restarting after its host refused a connection,
+seconds; the next check ends well before."""
 
 
 class HostChecker(Struct, eq=False):
     """Checks the hosts of silent agents.
 
     Attributes:
-        board: What the balancer knows.
-        pending: Hosts that are being checked.
+        board: State of the balancer.
+        pending: Hosts with a check under way.
     """
 
     board: BalancerBoard
     pending: set[str] = field(default_factory=set)
 
     def start_check(self, server: Server, now: float) -> None:
-        """Begins a check unless one is under way or has just ended."""
+        """Starts a check of a server's host unless one is pending or recent."""
         host = server.entry.host
         if host in self.pending or len(self.pending) >= CONCURRENT_CHECKS_MAX:
             return
@@ -51,7 +52,7 @@
         self.board.outbox.append(CheckHost(host))
 
     def on_checked(self, host: str, reach: Reach, now: float) -> None:
-        """Takes the outcome of ``CheckHost``."""
+        """Handles the outcome of ``CheckHost``."""
         self.pending.discard(host)
         server = self.board.by_host.get(host)
         if server is None:
@@ -77,11 +78,11 @@
         )
 
     def confirms_loss(self, server: Server, now: float) -> bool:
-        """Tells whether a check since its silence began speaks for its loss.
+        """Tells whether a check since the agent fell silent confirms its loss.
 
-        A host whose agent has ended with its server refuses connections like
-        one whose agent is being restarted. Searches for other flows must not
-        wait for its word.
+        A host whose agent exited together with its server refuses connections
+        just like one whose agent is restarting. Searches for other flows must
+        not wait for an answer of such an agent.
         """
         if server.probed_at is None or server.checked_at < server.probed_at:
             return False
--- a/notchhoist/flows/balancer/locality.py
+++ b/notchhoist/flows/balancer/locality.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for how far new flows are sent."""
+"""Balancer controller that weighs the network distance of servers."""
 
 from collections.abc import Mapping, Sequence
 
@@ -15,21 +15,21 @@
 
 
 class ZoneLocality(Struct, eq=False):
-    """Reckons with the distance of the servers that a flow may go to.
+    """Decides when a new flow goes to a server of a remote zone.
 
     Attributes:
-        board: What the balancer knows.
-        distances: What a round trip takes.
+        board: State of the balancer.
+        distances: Round-trip times by zone.
     """
 
     board: BalancerBoard
     distances: Distances
 
     def costs(self, servers: Sequence[Server]) -> Costs:
-        """Returns what servers must be better by, by their zones.
+        """Returns the penalties of remote servers, by zone.
 
         Args:
-            servers: Servers that a flow is placed among.
+            servers: Servers among which a flow is placed.
         """
         if not servers or not self._is_enabled():
             return {}
@@ -46,7 +46,7 @@
         return costs
 
     def _utilization(self, servers: Sequence[Server]) -> float:
-        """Returns the share of the slots that are taken."""
+        """Returns the slot utilization of the servers' service."""
         utilization = self.board.busy_shares.busy(servers[0].entry.service)
         if utilization is not None:
             return utilization
@@ -63,12 +63,13 @@
         costs: Costs,
         now: float,
     ) -> Sequence[Server]:
-        """Returns the servers that are asked for a free slot before others.
+        """Returns the servers that get the next conditional offer.
 
-        Only an agent knows whether a slot is free, and one that is near says
-        so sooner. Where nearly every attempt is in vain few are made, and words
-        decide where: else a zone that is overrun would never hand flows over.
-        A flow of many requests goes by open flows, wherever they are fewest.
+        Only an agent knows whether a slot is free, and a nearby agent answers
+        sooner. While nearly every attempt fails, only a few are made, and the
+        reported loads decide where: otherwise an overloaded zone would never
+        pass flows on. A flow of many requests goes by the number of open flows,
+        to any zone with the fewest.
         """
         if opening.route.kind is not RequestKind.ONCE_ONLY:
             return untried
@@ -91,11 +92,11 @@
     def prefers_local_queue(
         self, opening: Opening, untried: Sequence[Server], costs: Costs
     ) -> bool:
-        """Tells whether waiting near is better than one more attempt.
+        """Tells whether queueing at a nearby server beats one more attempt.
 
         Args:
             opening: The new flow.
-            untried: Servers that it was not offered to.
+            untried: Servers that it has not been offered to.
             costs: See ``costs``.
         """
         if not opening.busy or not untried:
@@ -108,16 +109,17 @@
         return self._local_queue_wait_s(opening, costs) <= trips * extra_s
 
     def _local_queue_wait_s(self, opening: Opening, costs: Costs) -> float:
-        """Returns the shortest wait at a near server that was busy, seconds.
+        """Returns the shortest queueing time at a busy nearby server, seconds.
 
-        One that had no slot though hardly anything runs there is failing.
+        A server that reports no free slot although hardly any request runs
+        there is failing and is left out.
         """
         waits_s = [float("inf")]
         for server_id in opening.busy:
             server = self.board.servers.get(server_id)
             if server is None or _is_far(server, costs):
                 continue
-            # The offer that has just come back still counts there.
+            # The offer that has just come back is still counted there.
             counts_offer = server_id == opening.tried[-1] and server.offered > 0
             ahead = server.running - counts_offer
             slots = server.entry.slots
@@ -127,19 +129,19 @@
         return min(waits_s)
 
     def accept_wait_s(self, server: Server) -> float:
-        """Returns how long a server has to accept a new flow, seconds."""
+        """Returns how long to wait for a server's acceptance, seconds."""
         if not self._is_enabled():
             return reaching.ACCEPT_WAIT_S
         return reaching.accept_wait_s(self.distances.round_trip_s(server))
 
 
 def _is_far(server: Server, costs: Costs) -> bool:
-    """Tells whether a server is so far that it matters."""
+    """Tells whether the distance of a server affects decisions."""
     return costs.get(server.entry.zone, reaching.USUAL_COSTS).is_long
 
 
 def _service_time_s(servers: Sequence[Server]) -> float:
-    """Returns the service time, seconds; 0 while few servers have told it."""
+    """Returns the median service time, seconds; 0 if few servers report it."""
     service_times_ms = [server.pace_ms for server in servers if server.pace_ms]
     is_known = 2 * len(service_times_ms) >= len(servers)
     return placing.median(service_times_ms) / 1000 if is_known else 0.0
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -1,4 +1,4 @@
-"""The node of a balancer on the opaque-flow path."""
+"""Balancer node of the opaque-flow path."""
 
 from msgspec import Struct
 from msgspec.structs import replace
@@ -50,29 +50,30 @@
 
 SWEEP_EVERY_S = 1.0
 CLOSED_KEPT_S = 3.0
-"""A placement whose caller has ended the flow is kept so long for its last
-packets, seconds; above the longest pause between two copies, 1.6 s."""
+"""How long a placement is kept for the last packets of a flow after its caller
+has closed it, seconds; longer than the longest pause between two
+retransmissions, 1.6 s."""
 
 
 class BalancerNode(Struct, eq=False):
-    """The decisions of a balancer; see ``make_balancer``.
+    """Decision logic of a balancer; see ``make_balancer``.
 
     Attributes:
-        board: What it knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        fleet: Keeps what the platform publishes.
-        resetter: Ends flows.
-        health: Watches over the agents.
+        fleet: Applies what the platform publishes.
+        resetter: Resets flows.
+        health: Monitors the health of agents.
         opener: Places new flows.
-        forwarder: Sends on packets of flows that are placed.
-        finder: Finds flows that are not known here.
-        reroutings: Notices routes that no longer name a service.
-        sharer: Shares with other balancers what is published.
-        informer: Tells agents what is published of their servers.
-        isolation: Notices when nobody else is heard.
-        early: Packets that came before anything was known.
-        resting: Finds out about flows whose server may have ended.
-        sweep_due: When old knowledge is next forgotten, seconds.
+        forwarder: Forwards packets of placed flows.
+        finder: Searches for flows that are not known here.
+        reroutings: Detects routes that no longer name a service.
+        sharer: Synchronizes the published view with other balancers.
+        informer: Sends agents the published state of their servers.
+        isolation: Detects that this balancer is isolated.
+        early: Buffers packets that arrive before routes and servers are known.
+        resting: Checks idle flows whose server may be down.
+        sweep_due: When expired state is next removed, seconds.
     """
 
     board: BalancerBoard
@@ -93,13 +94,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether routers should send flows here."""
+        """Whether routers should send flows to this balancer."""
         board = self.board
         known = board.table is not None and board.fleet_known
         return known and not board.stopping and not board.isolated
 
     def on_caller(self, segment: Segment, now: float) -> list[Effect]:
-        """Takes a packet of a caller."""
+        """Handles a packet of a caller."""
         board = self.board
         board.records.counters[Count.CALLER_PACKETS] += 1
         self._handle_caller(segment, now)
@@ -124,7 +125,7 @@
         counters[Count.KEPT_EARLY if kept else Count.NO_CONFIGURATION] += 1
 
     def _replay_early(self, now: float) -> None:
-        """Serves what came before routes and servers were known."""
+        """Processes packets that came before routes and servers were known."""
         board = self.board
         if not self.early.by_flow or board.table is None:
             return
@@ -166,7 +167,7 @@
         self.forwarder.forward(route, placement, segment, now)
 
     def on_agent(self, host: str, segment: Segment, now: float) -> list[Effect]:
-        """Takes a packet of an agent."""
+        """Handles a packet of an agent."""
         self.board.records.counters[Count.PEER_PACKETS] += 1
         if host not in self.board.by_host:
             self.board.records.counters[Count.UNKNOWN_SENDER] += 1
@@ -198,7 +199,7 @@
     def on_peer(
         self, host: str, message: PeerMessage, now: float
     ) -> list[Effect]:
-        """Takes a control message."""
+        """Handles a control message."""
         match message:
             case LoadTell():
                 self.health.on_load_tell(host, message, now)
@@ -223,17 +224,17 @@
     def on_host_checked(
         self, host: str, reach: Reach, now: float
     ) -> list[Effect]:
-        """Takes the outcome of ``CheckHost``."""
+        """Handles the outcome of ``CheckHost``."""
         self.health.host_checker.on_checked(host, reach, now)
         return self.take_effects()
 
     def on_published(self, now: float) -> None:
-        """Takes account of news of what the platform publishes."""
+        """Handles changes of what the platform publishes."""
         self.reroutings.look(now)
         self._replay_early(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Does what is due."""
+        """Performs the periodic work that is due."""
         self.early.note_start(now)
         self.reroutings.look(now)
         self.opener.tick(now)
@@ -264,7 +265,7 @@
             del flows[flow]
 
     def stop(self) -> None:
-        """Begins a planned stop: routers are to look elsewhere."""
+        """Begins a planned stop: routers should send flows elsewhere."""
         self.board.stopping = True
 
     def due(self) -> float:
@@ -280,7 +281,7 @@
         )
 
     def take_effects(self) -> list[Effect]:
-        """Returns what is to be done and forgets it."""
+        """Returns the pending effects and clears them."""
         effects = list(self.board.outbox)
         self.board.outbox.clear()
         return effects
@@ -295,16 +296,16 @@
     link_mbps: int = 0,
     uses: Mechanisms = ALL,
 ) -> BalancerNode:
-    """Makes the decisions of a balancer that knows nothing yet.
+    """Creates a balancer without any knowledge of routes and servers.
 
     Args:
         zone: Its availability zone.
         codec: Codec of the packets.
-        seed: Seed of every draw.
-        host: IP number of its host.
-        seeds: Hosts of some balancers.
-        link_mbps: What the host's link carries, Mbit/s.
-        uses: Which mechanisms are in use.
+        seed: Seed of all random numbers.
+        host: IP address of its host.
+        seeds: Hosts of some other balancers.
+        link_mbps: Bandwidth of the host's link, Mbit/s; 0 if unknown.
+        uses: Mechanisms in use.
     """
     board = BalancerBoard(zone, host, uses=uses)
     early = EarlyPackets()
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for new flows."""
+"""Balancer controller that places new flows."""
 
 from collections.abc import Sequence
 
@@ -28,23 +28,24 @@
 from notchhoist.flows.published.states import bound_of
 
 PLACEMENTS_MAX = 200_000
-"""Placements kept at the most; at 600 bytes each about 120 MB would be too
-much for a host of 128 MB, but 14 million flows over 580 hosts are 24,000."""
+"""Maximum number of placements. At 600 bytes each they would take about 120 MB,
+too much for a host with 128 MB, but 14 million flows over 580 hosts are only
+24,000 per host."""
 
 
 class FlowOpener(Struct, eq=False):
-    """Places new flows and offers them elsewhere where a server says no.
+    """Places new flows, and offers a flow elsewhere if a server declines it.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
-        resetter: Ends flows.
+        health: Monitors the health of agents.
+        resetter: Resets flows.
         draw: Random numbers in [0, 1).
-        early: Tells whether a caller may have tried before.
-        informer: Tells agents what they should know before they get a flow.
-        locality: Reckons with distances.
-        outcomes: Takes account of what becomes of offers.
+        early: Tells whether an opening packet may belong to a retry.
+        informer: Sends agents the state that they need before they get a flow.
+        locality: Weighs the network distance of servers.
+        outcomes: Processes the outcomes of offers.
     """
 
     board: BalancerBoard
@@ -58,11 +59,11 @@
     outcomes: OfferOutcomes
 
     def on_opening(self, route: Route, segment: Segment, now: float) -> None:
-        """Takes an opening packet or a copy of one."""
+        """Handles an opening packet or a retransmission of one."""
         flow = segment.flow
         placement = self.board.flows.get(flow)
         if placement is not None and placement.accepted:
-            # The server's acceptance may have been lost: it repeats it.
+            # The server's acceptance may have been lost; the server repeats it.
             wish = route.wish(segment.waited_s)
             self._send(placement.server, segment, wish, now)
             return
@@ -71,7 +72,7 @@
             opening = self._begin(route, segment, now)
             self.board.openings[flow] = opening
         elif self._awaits_answer(opening, now):
-            # A second server would open the flow too, and one in vain.
+            # A second server would open the flow too, one of them in vain.
             return
         self.offer(opening, now)
 
@@ -95,11 +96,12 @@
         )
 
     def offer(self, opening: Opening, now: float) -> None:
-        """Offers a flow to the best server that it was not offered to.
+        """Offers a flow to the best server that it has not been offered to.
 
-        It is offered to a few on the condition that a slot is free, and then
-        to the best of those that had none: what they have told is news, and
-        what is known of others is older than a request takes.
+        A flow first gets a few conditional offers, which are accepted only if a
+        slot is free. Then it is offered unconditionally to the best of the
+        servers that had none: their load reports are recent, while those of
+        other servers are older than a request takes.
         """
         board = self.board
         open_servers = placing.open_to_new(
@@ -169,7 +171,7 @@
         )
 
     def _offers_conditionally(self, opening: Opening) -> bool:
-        """Tells whether the next server gets a flow only if a slot is free."""
+        """Tells whether the next offer is conditional on a free slot."""
         board = self.board
         if not board.uses.if_free or opening.route.kind is RequestKind.UPLOAD:
             return False
@@ -179,9 +181,9 @@
     def _busy_servers(
         self, opening: Opening, servers: Sequence[Server]
     ) -> list[Server]:
-        """Returns the servers where a flow may wait, as it was told there.
+        """Returns the servers without a free slot where a flow may queue.
 
-        Once it has been offered to one of them it is past that choice.
+        The list is empty once the flow has been offered unconditionally.
         """
         if not opening.if_free:
             return []
@@ -233,14 +235,15 @@
         self.health.expect(server, now)
 
     def _reject(self, opening: Opening, willing: int, now: float) -> None:
-        """Gives a flow up at once: nothing has run, the caller may retry."""
+        """Gives up placing a flow; nothing has run, so the caller may retry."""
         board = self.board
         flow = opening.segment.flow
         self.outcomes.end_offer(opening)
         board.openings.pop(flow, None)
         board.flows.pop(flow, None)
         if self.health.are_all_agents_silent(now):
-            # The caller's copies go to another balancer once routers notice.
+            # The caller's retransmissions go to another balancer once routers
+            # see that this one is not ready.
             board.records.counters[Count.LEFT_TO_OTHERS] += 1
             board.records.decide(
                 "leave to others",
@@ -260,7 +263,7 @@
         )
 
     def on_refused(self, host: str, segment: Segment, now: float) -> None:
-        """Takes a flow back that a backend server did not take."""
+        """Handles a flow that a backend server did not take."""
         opening = self.board.openings.get(segment.flow)
         placement = self.board.flows.get(segment.flow)
         is_current = placement is None or placement.server.entry.host == host
@@ -268,12 +271,12 @@
             self.outcomes.record_duration(opening, "refused", now)
             self.offer(opening, now)
         elif placement is not None and is_current:
-            # It was accepted, but never got a slot; nothing has run.
+            # The flow was accepted but never got a slot; nothing has run.
             del self.board.flows[segment.flow]
             self.resetter.reset(segment, "no slot in time", server_host=host)
 
     def on_busy(self, host: str, segment: Segment, now: float) -> None:
-        """Takes a flow back from a server without a free slot."""
+        """Handles a conditional offer that came back without a free slot."""
         opening = self.board.openings.get(segment.flow)
         placement = self.board.flows.get(segment.flow)
         if opening is None or not opening.if_free:
@@ -291,14 +294,14 @@
             counters[Count.FOUND_NONE_FREE] += 1
 
     def on_full(self, host: str, segment: Segment, now: float) -> None:
-        """Takes a flow back from a server that bears none for a while."""
+        """Handles a flow returned by a server that takes none for a while."""
         server = self.board.by_host.get(host)
         if server is not None:
             server.full_until = now + notes.pause_of(segment.note)
         self.on_refused(host, segment, now)
 
     def tick(self, now: float) -> None:
-        """Offers flows elsewhere whose agent has kept silent."""
+        """Offers a flow elsewhere if its agent has not answered in time."""
         overdue = [
             opening
             for opening in self.board.openings.values()
@@ -331,16 +334,16 @@
     early: EarlyPackets,
     informer: AgentInformer,
 ) -> FlowOpener:
-    """Makes what places a balancer's new flows.
+    """Creates the controller that places a balancer's new flows.
 
     Args:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
-        resetter: Ends flows.
+        health: Monitors the health of agents.
+        resetter: Resets flows.
         draw: Random numbers in [0, 1).
-        early: Tells whether a caller may have tried before.
-        informer: Tells agents what they should know before they get a flow.
+        early: Tells whether an opening packet may belong to a retry.
+        informer: Sends agents the state that they need before they get a flow.
     """
     return FlowOpener(
         board=board,
--- a/notchhoist/flows/balancer/targeting.py
+++ b/notchhoist/flows/balancer/targeting.py
@@ -1,4 +1,4 @@
-"""The service of a new flow, among those of its route that can take it."""
+"""Choice of the service of a new flow among the targets of its route."""
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.decisions import placing
@@ -11,12 +11,13 @@
 ) -> str:
     """Returns the service that a new flow goes to.
 
-    The operator's weights hold among the services that have a living server; a
-    service without one leaves its share to the rest. One whose servers are full
-    keeps its share: to move that would overload the rest too.
+    The operator's weights apply among the services that have a live server; the
+    share of a service without one is distributed over the others. A service
+    whose servers are full keeps its share: moving it would overload the others
+    too.
 
     Args:
-        board: What the balancer knows.
+        board: State of the balancer.
         route: Route of the flow.
         flow: Key of the flow.
         now: Runtime clock, seconds.
@@ -32,7 +33,7 @@
 
 
 def count_new_flow(board: BalancerBoard, route: Route, service: str) -> None:
-    """Counts a new flow of a route that splits."""
+    """Counts a new flow if its route names several services."""
     counts = board.placed.get(route.service_key)
     if counts is not None:
         counts[service] += 1
