--- a/notchhoist/flows/balancer/tests/test_accepting.py
+++ b/notchhoist/flows/balancer/tests/test_accepting.py
@@ -1,4 +1,4 @@
-"""A flow opens at one server where one is enough."""
+"""A flow opens at a single server where one is enough."""
 
 from notchhoist.flows.decisions.reaching import ACCEPT_WAIT_S
 from notchhoist.flows.model import notes
@@ -14,41 +14,41 @@
 )
 from notchhoist.flows.tests.crafting import RST, SYN, request, with_note
 
-LATE_S = ACCEPT_WAIT_S + 0.01
+OVERDUE_S = ACCEPT_WAIT_S + 0.01
 
 
-def begin(node, now=0.0):
+def offer_flow(node, now=0.0):
     syn = request(flags=SYN)
     [(host, _)] = packets(node.on_caller(syn, now))
     return syn, host
 
 
-def test_a_copy_of_an_opening_is_not_offered_while_an_answer_may_come():
+def test_a_retransmitted_opening_is_not_offered_while_an_answer_may_come():
     node = balancer()
-    syn, _ = begin(node)
+    syn, _ = offer_flow(node)
     assert not packets(node.on_caller(syn, ACCEPT_WAIT_S / 2))
 
 
-def test_a_copy_of_an_opening_is_offered_once_no_answer_has_come():
+def test_a_retransmitted_opening_is_offered_after_an_answer_is_overdue():
     node = balancer()
-    syn, first = begin(node)
-    [(second, _)] = packets(node.on_caller(syn, LATE_S))
+    syn, first = offer_flow(node)
+    [(second, _)] = packets(node.on_caller(syn, OVERDUE_S))
     assert second != first
 
 
-def test_a_caller_that_goes_on_shows_who_has_accepted():
-    """Word of the acceptance was lost; the flow was opened a second time."""
+def test_data_of_the_caller_shows_that_the_only_server_has_accepted():
+    """The report of the acceptance was lost; the flow was opened twice."""
     node = balancer()
-    _, host = begin(node)
+    _, host = offer_flow(node)
     [(held, _)] = packets(node.on_caller(request(seq=1, data=b"x"), 0.01))
     assert held == host
-    assert not packets(node.tick(LATE_S))
+    assert not packets(node.tick(OVERDUE_S))
     assert not node.board.openings
 
 
 def test_a_server_that_had_no_free_slot_has_not_accepted():
     node = balancer()
-    syn, first = begin(node)
+    syn, first = offer_flow(node)
     busy = notes.to_balancer(NoteKind.BUSY, Load(1, 1))
     [(second, _)] = packets(node.on_agent(first, with_note(syn, busy), 0.001))
     node.on_caller(request(seq=1, data=b"x"), 0.01)
@@ -56,56 +56,56 @@
     assert node.board.flows[syn.flow].server.entry.host == second
 
 
-def test_where_two_may_have_accepted_the_caller_shows_nothing():
+def test_no_acceptance_is_inferred_if_two_servers_may_have_accepted():
     node = balancer()
-    syn, _ = begin(node)
-    assert packets(node.tick(LATE_S))
-    node.on_caller(request(seq=1, data=b"x"), LATE_S + 0.01)
+    syn, _ = offer_flow(node)
+    assert packets(node.tick(OVERDUE_S))
+    node.on_caller(request(seq=1, data=b"x"), OVERDUE_S + 0.01)
     assert syn.flow in node.board.openings
 
 
-def test_a_caller_that_resets_shows_nothing():
+def test_no_acceptance_is_inferred_from_a_reset():
     node = balancer()
-    syn, _ = begin(node)
+    syn, _ = offer_flow(node)
     node.on_caller(request(flags=RST, seq=1), 0.01)
     assert syn.flow in node.board.openings
 
 
-def test_a_second_acceptance_is_counted():
+def test_a_redundant_acceptance_is_counted():
     node = balancer()
-    syn, first = begin(node)
-    [(second, _)] = packets(node.tick(LATE_S))
-    tell(node, second, syn, NoteKind.TAKEN, LATE_S + 0.001)
-    tell(node, first, syn, NoteKind.TAKEN, LATE_S + 0.002)
+    syn, first = offer_flow(node)
+    [(second, _)] = packets(node.tick(OVERDUE_S))
+    tell(node, second, syn, NoteKind.TAKEN, OVERDUE_S + 0.001)
+    tell(node, first, syn, NoteKind.TAKEN, OVERDUE_S + 0.002)
     assert node.board.records.counters[Count.ACCEPTED_IN_VAIN] == 1
     assert node.board.flows[syn.flow].server.entry.host == second
 
 
-def resets_of_a_dark_host(told):
-    """Returns the resets of a flow whose caller goes on while its host is dark.
+def resets_with_unreachable_host(acceptance_reported):
+    """Returns the number of resets of a flow whose host is unreachable.
 
-    The other agents answer all along.
+    Its caller goes on sending, and the other agents answer all the time.
     """
     node = balancer()
-    syn, dark = begin(node)
+    syn, unreachable = offer_flow(node)
     data = request(seq=1, data=b"x")
     found = []
     node.on_caller(data, 0.01)
-    if told:
-        tell(node, dark, syn, NoteKind.TAKEN, 0.012)
+    if acceptance_reported:
+        tell(node, unreachable, syn, NoteKind.TAKEN, 0.012)
     for step in range(1, 41):
         now = step / 20
         for host in node.board.by_host:
-            if host != dark:
+            if host != unreachable:
                 node.on_peer(host, LoadTell(0, 0, 0, False), now)
         if now in (0.2, 0.6, 1.0):
             found += resets(node.on_caller(data, now))
         found += resets(tick_among_dead(node, now))
-    assert node.board.by_host[dark].lost
+    assert node.board.by_host[unreachable].lost
     return len(found)
 
 
-def test_a_guess_at_the_server_resets_nothing_when_its_host_is_dark():
-    """Another balancer may have offered the flow to a server that lives."""
-    assert resets_of_a_dark_host(told=False) == 0
-    assert resets_of_a_dark_host(told=True) == 1
+def test_an_inferred_acceptance_resets_nothing_if_the_host_is_unreachable():
+    """Another balancer may have offered the flow to a server that is up."""
+    assert resets_with_unreachable_host(acceptance_reported=False) == 0
+    assert resets_with_unreachable_host(acceptance_reported=True) == 1
--- a/notchhoist/flows/balancer/tests/test_balancer.py
+++ b/notchhoist/flows/balancer/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""A balancer: placing, finding, resetting, and what it must never do."""
+"""Placing and forwarding flows, suspecting agents, resetting flows."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 from notchhoist.flows.tests.crafting import ACK, CODEC, SYN, entry, request
 
 
-def test_a_new_flow_goes_to_one_server_and_stays():
+def test_packets_of_a_flow_go_to_the_server_that_accepted_it():
     node = balancer()
     host = open_flow(node)
     effects = node.on_caller(request(data=b"x"), 0.01)
@@ -31,7 +31,7 @@
     assert notes.kind_of(segment.note) is NoteKind.HELD
 
 
-def test_new_flows_go_where_the_fewest_are():
+def test_new_flows_go_to_the_servers_with_the_fewest_flows():
     node = balancer()
     hosts = [open_flow(node, port=40000 + n) for n in range(9)]
     assert sorted(hosts.count(host) for host in set(hosts)) == [3, 3, 3]
@@ -54,7 +54,7 @@
     assert second != first
 
 
-def test_a_flow_that_nobody_takes_is_reset_at_once():
+def test_a_flow_that_every_server_refuses_is_reset_at_once():
     node = balancer(servers=1)
     syn = request(flags=SYN)
     [(host, _)] = packets(node.on_caller(syn, 0.0))
@@ -63,7 +63,7 @@
     assert len(resets(effects)) == 1
 
 
-def test_a_silent_agent_costs_one_wait_and_is_suspected():
+def test_a_silent_agent_is_suspected_and_the_flow_offered_elsewhere():
     node = balancer(servers=2)
     [(first, _)] = packets(node.on_caller(request(flags=SYN), 0.0))
     [(second, _)] = packets(node.tick(0.07))
@@ -71,18 +71,18 @@
     assert node.board.by_host[first].suspected
 
 
-def test_no_route_is_answered_at_once():
+def test_a_flow_without_a_route_is_reset_at_once():
     node = balancer(routes=[])
     assert len(resets(node.on_caller(request(flags=SYN), 0.0))) == 1
 
 
-def test_nothing_is_decided_before_the_configuration_is_known():
+def test_packets_are_not_served_before_the_configuration_is_known():
     node = make_balancer("a", CODEC, "seed")
     assert not node.on_caller(request(flags=SYN), 0.0)
     assert not node.is_ready
 
 
-def test_a_configuration_never_goes_back():
+def test_an_older_configuration_is_ignored():
     node = balancer(version=5)
     node.fleet.tables.on_table(crafting.table(version=4, routes=[]), 9)
     assert node.board.table.version == 5
@@ -94,7 +94,7 @@
     open_flow(node, port=40002)
     assert len({item.server for item in node.board.flows.values()}) == 2
     # Only the first host answers from now on.
-    gone = []
+    found = []
     for step in range(1, 40):
         now = 0.05 * step
         for port in (40001, 40002):
@@ -102,15 +102,15 @@
             for effect in node.on_caller(data, now):
                 if isinstance(effect, SendPeer) and effect.host == "10.0.0.1":
                     node.on_peer("10.0.0.1", LoadTell(1, 0, 0, False), now)
-        gone += resets(tick_among_dead(node, now))
-    assert len(gone) == 1
+        found += resets(tick_among_dead(node, now))
+    assert len(found) == 1
 
 
-def test_a_host_whose_server_was_replaced_is_not_given_up():
-    """An entry outlives its server by three heartbeats.
+def test_a_host_whose_server_was_replaced_is_not_declared_lost():
+    """An entry is published for three heartbeats after its server is gone.
 
-    Flows were placed on the old entry, whose agent was never heard again
-    because its answers counted for the new one, and then reset.
+    Flows were placed on the old entry and then reset: answers of the agent
+    counted for the new entry, so the old one was never heard again.
     """
     node = balancer(servers=1)
     newer = entry(1, server_id="s1-new", created=9)
@@ -128,8 +128,8 @@
     assert not resets(effects)
 
 
-def test_a_busy_balancer_gives_a_dead_host_up():
-    """It did not: agents that are heard all the time are never asked."""
+def test_a_busy_balancer_declares_a_dead_host_lost():
+    """It was not: agents that are heard all the time are never probed."""
     node = balancer(servers=3)
     for port in range(40001, 40007):
         open_flow(node, port=port)
@@ -144,8 +144,8 @@
     assert len(resets(effects)) == 2
 
 
-def test_a_copy_makes_the_balancer_ask_at_once():
-    """In a large fleet loads are asked for too seldom to notice a death."""
+def test_a_retransmission_makes_the_balancer_probe_at_once():
+    """In a large fleet load probes are too rare to detect a failure."""
     node = balancer(servers=2)
     host = open_flow(node)
     data = request(data=b"x")
@@ -154,8 +154,8 @@
     assert asked.host == host
 
 
-def test_questions_for_loads_are_bounded_in_a_large_fleet():
-    """Each of 4,300 servers was asked twice a second: 600 KB/s."""
+def test_load_probes_are_rate_limited_in_a_large_fleet():
+    """Each of 4,300 servers was probed twice a second: 600 KB/s."""
     node = balancer(servers=200)
     asked = 0
     for step in range(2000):
@@ -173,8 +173,8 @@
     assert asked <= 9.0 * PROBES_PER_S
 
 
-def test_a_host_that_hears_nobody_gives_up_nobody():
-    """Its link was full for a second, and it reset every flow it had."""
+def test_a_balancer_that_hears_no_agent_declares_none_lost():
+    """A link that was full for a second made it reset all of its flows."""
     node = balancer(servers=3)
     for port in range(40001, 40007):
         open_flow(node, port=port)
@@ -187,7 +187,7 @@
     assert not resets(effects)
 
 
-def test_a_flow_without_a_slot_is_reset_not_offered_again():
+def test_an_accepted_flow_without_a_slot_is_reset_not_offered_again():
     node = balancer(servers=2)
     host = open_flow(node)
     data = request(data=b"x")
@@ -196,14 +196,14 @@
     assert not packets(effects)
 
 
-def test_packets_of_strangers_are_dropped():
+def test_packets_of_unknown_hosts_are_dropped():
     node = balancer()
     data = request(data=b"x")
     assert not tell(node, "10.9.9.9", data, NoteKind.PRESENT, 0.0)
 
 
 @pytest.mark.parametrize("flags", [SYN, ACK])
-def test_a_stopping_balancer_goes_on_forwarding(flags):
+def test_a_stopping_balancer_still_forwards(flags):
     node = balancer()
     open_flow(node)
     node.stop()
@@ -211,8 +211,8 @@
     assert packets(node.on_caller(request(flags=flags, data=b""), 0.1))
 
 
-def test_a_balancer_that_stood_still_judges_nobody_before_it_has_read():
-    """The pause may fall between reading the answers and judging silence."""
+def test_a_stalled_balancer_suspects_no_agent_before_reading_answers():
+    """The stall may begin between reading answers and evaluating silence."""
     node = balancer(servers=2)
     for port in (40001, 40002):
         open_flow(node, port=port)
@@ -234,7 +234,7 @@
 
 
 def resets_with_silent_agents(link_mbps, silent, until_s, agents=8):
-    """Lets some of the agents be silent from 0.05 s on; counts resets."""
+    """Silences some agents from 0.05 s on; returns the number of resets."""
     node = make_balancer("a", CODEC, "seed", link_mbps=link_mbps)
     node.fleet.tables.on_table(crafting.table(), 1)
     entries = [(entry(n), 1) for n in range(1, agents + 1)]
@@ -253,28 +253,28 @@
     return len(found)
 
 
-def test_a_balancer_with_a_full_narrow_link_gives_agents_more_time():
-    """A living flow was reset: answers were lost on a link of 5 Mbit/s."""
+def test_a_balancer_on_a_full_low_bandwidth_link_waits_longer():
+    """A live flow was reset: answers were lost on a link of 5 Mbit/s."""
     assert resets_with_silent_agents(5, 3, 2.0) == 0
     assert resets_with_silent_agents(5, 3, 4.0) == 6
     assert resets_with_silent_agents(1000, 3, 2.0) == 6
     assert resets_with_silent_agents(5, 1, 2.0) == 2
 
 
-def test_flows_that_come_at_once_are_spread_though_loads_lag():
-    """After a loss of power one server got 94 of them and the next 45."""
+def test_a_burst_of_flows_is_spread_although_loads_lag():
+    """After a power failure one server got 94 flows and the next one 45."""
     node = balancer(servers=3)
     kept = [request(flags=SYN, port=number) for number in range(30)]
     sent = [packets(node.on_caller(syn, 0.0))[0][0] for syn in kept]
     first = sent[0]
-    # Its agent counted when only the first flow had come.
+    # The agent reports its load of when only the first flow had arrived.
     tell(node, first, kept[0], NoteKind.TAKEN, 0.002, Load(1, 1, 40))
     more = [request(flags=SYN, port=1000 + number) for number in range(9)]
     hosts = [packets(node.on_caller(syn, 0.003))[0][0] for syn in more]
     assert hosts.count(first) <= 4
 
 
-def test_an_offer_without_an_answer_stops_counting():
+def test_an_unanswered_offer_no_longer_counts_as_load():
     node = balancer(servers=2)
     [(first, _)] = packets(node.on_caller(request(flags=SYN), 0.0))
     node.tick(0.07)
--- a/notchhoist/flows/balancer/tests/test_evacuating.py
+++ b/notchhoist/flows/balancer/tests/test_evacuating.py
@@ -1,4 +1,4 @@
-"""Zones that are to get nothing new, and servers that are full."""
+"""Evacuated zones and full servers get no new flows."""
 
 from notchhoist.flows.balancer.informing import RESEND_AFTER_S
 from notchhoist.flows.balancer.node import make_balancer
@@ -15,7 +15,7 @@
 
 
 def balancer(bound=None, cold_s=0.0, servers=9):
-    """A balancer in zone a before servers in three zones."""
+    """Creates a balancer in zone a with servers in three zones."""
     node = make_balancer("a", CODEC, "seed", "10.0.1.1")
     table = crafting.table()
     bounds = (bound,) if bound else ()
@@ -37,8 +37,8 @@
     node.board.view.reach(revision)
 
 
-def placed(node, count=60, now=1.0):
-    """Returns the zones where that many new flows go."""
+def zones_of_new_flows(node, count=60, now=1.0):
+    """Returns the zones that get the given number of new flows."""
     zones = set()
     for port in range(count):
         syn = request(flags=SYN, port=2000 + port)
@@ -47,7 +47,7 @@
     return zones
 
 
-def told(effects):
+def sent_states(effects):
     return [
         (effect.host, effect.message.state)
         for effect in effects
@@ -55,7 +55,7 @@
     ]
 
 
-def full(node, host, segment, now, pause_s=0.5):
+def answer_full(node, host, segment, now, pause_s=0.5):
     note = notes.full(Load(), pause_s)
     return node.on_agent(host, crafting.with_note(segment, note), now)
 
@@ -63,12 +63,12 @@
 def test_an_evacuated_zone_gets_no_new_flow():
     node = balancer()
     node.fleet.zones.on_evacuated("a", 2, 0.5)
-    assert placed(node) == {"b", "c"}
+    assert zones_of_new_flows(node) == {"b", "c"}
     node.fleet.zones.on_returned("a", 3, 2.0)
-    assert "a" in placed(node, now=3.0)
+    assert "a" in zones_of_new_flows(node, now=3.0)
 
 
-def test_open_flows_of_an_evacuated_zone_stay():
+def test_open_flows_stay_in_an_evacuated_zone():
     node = balancer()
     host = open_flow(node)
     node.fleet.zones.on_evacuated(node.board.by_host[host].entry.zone, 2, 0.5)
@@ -77,7 +77,7 @@
     assert to == host
 
 
-def test_where_all_zones_are_evacuated_callers_are_told_at_once():
+def test_new_flows_are_reset_at_once_if_all_zones_are_evacuated():
     node = balancer()
     for number, zone in enumerate(ZONES):
         node.fleet.zones.on_evacuated(zone, 2 + number, 0.5)
@@ -86,23 +86,23 @@
     assert not node.board.openings
 
 
-def test_evacuated_withdrawn_and_evacuated_again_within_a_second():
+def test_a_zone_is_evacuated_returned_and_evacuated_again():
     node = balancer()
     node.fleet.zones.on_evacuated("a", 2, 0.1)
     node.fleet.zones.on_returned("a", 3, 0.2)
     node.fleet.zones.on_evacuated("a", 4, 0.3)
-    node.fleet.zones.on_returned("a", 3, 0.4)  # Late word of what is over.
-    assert placed(node) == {"b", "c"}
+    node.fleet.zones.on_returned("a", 3, 0.4)  # Outdated message.
+    assert zones_of_new_flows(node) == {"b", "c"}
     assert node.board.zones["a"].evacuated_at == 0.3
 
 
-def test_a_zone_that_nobody_is_in_changes_nothing():
+def test_evacuating_a_zone_without_servers_changes_nothing():
     node = balancer()
     node.fleet.zones.on_evacuated("nowhere/else", 2, 0.1)
-    assert placed(node) == set(ZONES)
+    assert zones_of_new_flows(node) == set(ZONES)
 
 
-def test_a_whole_list_withdraws_what_it_does_not_name():
+def test_a_complete_list_withdraws_evacuations_that_it_does_not_name():
     node = balancer()
     node.fleet.zones.on_evacuated("a", 2, 0.1)
     node.fleet.zones.on_evacuated("b", 3, 0.1)
@@ -111,7 +111,7 @@
     assert set(node.board.view.evacuated) == {"b"}
 
 
-def test_readers_tell_the_agents_of_the_zone_until_they_confirm():
+def test_readers_send_the_state_to_agents_until_they_confirm():
     node = balancer()
     evacuate(node, "a", 2, 0.5)
     hosts = {
@@ -119,16 +119,16 @@
         for host, server in node.board.by_host.items()
         if server.entry.zone == "a"
     }
-    first = told(node.tick(0.5))
+    first = sent_states(node.tick(0.5))
     assert {host for host, state in first if state.evacuated} == hosts
     confirmed = min(hosts)
     node.on_peer(confirmed, LoadTell(0, 0, 0, False, 2), 0.51)
-    again = told(node.tick(0.501 + RESEND_AFTER_S))
+    again = sent_states(node.tick(0.501 + RESEND_AFTER_S))
     assert {host for host, _ in again} == hosts - {confirmed}
 
 
-def test_an_agent_that_knows_less_is_told_again_but_not_without_end():
-    """One of an earlier version never says what it knows."""
+def test_an_outdated_agent_is_sent_the_state_again_at_a_limited_rate():
+    """Agents of earlier versions never report a state revision."""
     node = balancer()
     evacuate(node, "a", 2, 0.5)
     host = next(
@@ -138,19 +138,21 @@
     )
     node.tick(0.5)
     answers = [
-        told(node.on_peer(host, LoadTell(0, 0, 0, False), 0.5 + n / 1000))
+        sent_states(
+            node.on_peer(host, LoadTell(0, 0, 0, False), 0.5 + n / 1000)
+        )
         for n in range(50)
     ]
     assert sum(len(answer) for answer in answers) == 0
     late = node.on_peer(host, LoadTell(0, 0, 0, False), 0.501 + RESEND_AFTER_S)
-    assert len(told(late)) == 1
+    assert len(sent_states(late)) == 1
 
 
-def test_a_server_that_is_full_is_left_alone_until_it_bears_more():
+def test_a_full_server_gets_no_flow_until_its_pause_ends():
     node = balancer(servers=2)
     syn = request(flags=SYN)
     [(first, _)] = packets(node.on_caller(syn, 1.0))
-    [(second, _)] = packets(full(node, first, syn, 1.001))
+    [(second, _)] = packets(answer_full(node, first, syn, 1.001))
     assert first != second
     for port in range(5):
         syn = request(flags=SYN, port=3000 + port)
@@ -163,41 +165,41 @@
     assert first in hosts
 
 
-def test_where_every_server_is_full_callers_are_told_at_once():
+def test_new_flows_are_reset_at_once_if_every_server_is_full():
     node = balancer(servers=2)
     syn = request(flags=SYN)
     [(first, _)] = packets(node.on_caller(syn, 1.0))
-    [(second, _)] = packets(full(node, first, syn, 1.001))
-    assert len(resets(full(node, second, syn, 1.002))) == 1
+    [(second, _)] = packets(answer_full(node, first, syn, 1.001))
+    assert len(resets(answer_full(node, second, syn, 1.002))) == 1
     later = request(flags=SYN, port=3000)
     assert len(resets(node.on_caller(later, 1.01))) == 1
 
 
-def test_a_full_server_keeps_its_pace():
+def test_a_full_server_keeps_its_service_time():
     node = balancer(servers=2)
     syn = request(flags=SYN)
     [(first, _)] = packets(node.on_caller(syn, 1.0))
     node.board.by_host[first].pace_ms = 40
-    full(node, first, syn, 1.001, pause_s=1.0)
+    answer_full(node, first, syn, 1.001, pause_s=1.0)
     assert node.board.by_host[first].pace_ms == 40
 
 
-def test_the_agent_of_a_bounded_cold_server_is_told_before_its_first_flow():
+def test_the_agent_of_a_bounded_cold_server_gets_the_state_before_a_flow():
     node = balancer(ColdBound(crafting.SERVICE, 6.0, 2.0), cold_s=2.0)
     node.informer.pending.clear()
     effects = node.on_caller(request(flags=SYN), 0.5)
     [(host, segment)] = packets(effects)
     assert notes.kind_of(segment.note) is NoteKind.PLACE_BOUNDED
-    state = dict(told(effects))[host]
+    state = dict(sent_states(effects))[host]
     assert (state.bound_per_s, state.cold_for_s) == (6.0, 1.5)
 
 
-def test_a_zone_that_is_used_again_counts_as_cold_for_a_start():
+def test_servers_of_a_returned_zone_count_as_cold():
     node = balancer(ColdBound(crafting.SERVICE, 6.0, 2.0))
     evacuate(node, "a", 2, 1.0)
     node.fleet.zones.on_returned("a", 3, 5.0)
     node.board.view.reach(3)
-    states = dict(told(node.tick(5.0)))
+    states = dict(sent_states(node.tick(5.0)))
     cold = {
         node.board.by_host[host].entry.zone
         for host, state in states.items()
@@ -206,10 +208,10 @@
     assert cold == {"a"}
 
 
-def test_the_agent_of_a_leaving_server_is_told():
+def test_the_agent_of_a_draining_server_gets_the_state():
     node = balancer()
     node.fleet.on_entry(entry(1, zone="b", draining=True), 5, 1.0)
     node.board.view.reach(5)
-    states = dict(told(node.tick(1.0)))
+    states = dict(sent_states(node.tick(1.0)))
     assert [state.draining for state in states.values()] == [True]
     assert set(states) == {"10.0.0.1"}
--- a/notchhoist/flows/balancer/tests/test_isolation.py
+++ b/notchhoist/flows/balancer/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""A balancer that is cut off lets routers look elsewhere."""
+"""An isolated balancer makes routers send flows to other balancers."""
 
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model.effects import (
@@ -15,7 +15,7 @@
 STEP_S = 0.05
 
 
-class CutOff:
+class IsolatedBalancer:
     """A balancer with four agents and another balancer, some of them silent."""
 
     def __init__(self, others=(OTHER,)):
@@ -42,11 +42,11 @@
             if effect.host not in self.heard:
                 continue
             if isinstance(effect.message, LoadAsk):
-                told = LoadTell(1, 0, 0, False)
-                self.answer(self.node.on_peer(effect.host, told, self.now))
+                load = LoadTell(1, 0, 0, False)
+                self.answer(self.node.on_peer(effect.host, load, self.now))
             elif isinstance(effect.message, ViewAsk):
-                asked = ViewAsk(1)
-                self.answer(self.node.on_peer(effect.host, asked, self.now))
+                query = ViewAsk(1)
+                self.answer(self.node.on_peer(effect.host, query, self.now))
 
     def run(self, until):
         port = 40000
@@ -58,68 +58,68 @@
             self.answer(self.node.tick(self.now))
 
 
-def test_a_balancer_that_hears_nobody_is_not_ready():
-    """A front cut off for five seconds failed 40% of its zone's requests."""
-    cut_off = CutOff()
-    cut_off.run(1.0)
-    assert cut_off.node.is_ready
-    cut_off.heard.clear()
-    cut_off.run(2.5)
-    assert not cut_off.node.is_ready
+def test_an_isolated_balancer_is_not_ready():
+    """A balancer cut off for five seconds failed 40% of its zone's requests."""
+    scenario = IsolatedBalancer()
+    scenario.run(1.0)
+    assert scenario.node.is_ready
+    scenario.heard.clear()
+    scenario.run(2.5)
+    assert not scenario.node.is_ready
 
 
-def test_it_is_ready_again_as_soon_as_somebody_is_heard():
-    cut_off = CutOff()
-    cut_off.run(1.0)
-    cut_off.heard.clear()
-    cut_off.run(3.0)
-    cut_off.heard.add("10.0.0.3")
-    cut_off.run(3.3)
-    assert cut_off.node.is_ready
+def test_a_balancer_is_ready_again_as_soon_as_it_hears_an_agent():
+    scenario = IsolatedBalancer()
+    scenario.run(1.0)
+    scenario.heard.clear()
+    scenario.run(3.0)
+    scenario.heard.add("10.0.0.3")
+    scenario.run(3.3)
+    assert scenario.node.is_ready
 
 
-def test_agents_that_are_all_silent_for_the_others_too_change_nothing():
-    """Every balancer would leave at once, and nobody would be served."""
-    cut_off = CutOff()
-    cut_off.run(1.0)
-    cut_off.heard -= {"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"}
-    cut_off.run(4.0)
-    assert cut_off.node.is_ready
+def test_a_balancer_that_hears_other_balancers_is_ready():
+    """If all agents are down, every balancer would become unready at once."""
+    scenario = IsolatedBalancer()
+    scenario.run(1.0)
+    scenario.heard -= {"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"}
+    scenario.run(4.0)
+    assert scenario.node.is_ready
 
 
-def test_a_balancer_that_hears_some_agents_stays():
-    cut_off = CutOff()
-    cut_off.run(1.0)
-    cut_off.heard = {"10.0.0.2"}
-    cut_off.run(4.0)
-    assert cut_off.node.is_ready
+def test_a_balancer_that_hears_some_agents_is_ready():
+    scenario = IsolatedBalancer()
+    scenario.run(1.0)
+    scenario.heard = {"10.0.0.2"}
+    scenario.run(4.0)
+    assert scenario.node.is_ready
 
 
-def test_a_balancer_without_others_stays():
-    cut_off = CutOff(others=())
-    cut_off.run(1.0)
-    cut_off.heard.clear()
-    cut_off.run(4.0)
-    assert cut_off.node.is_ready
+def test_a_balancer_without_other_balancers_is_ready():
+    scenario = IsolatedBalancer(others=())
+    scenario.run(1.0)
+    scenario.heard.clear()
+    scenario.run(4.0)
+    assert scenario.node.is_ready
 
 
-def test_new_flows_are_left_to_the_others_and_not_reset():
+def test_an_isolated_balancer_does_not_reset_new_flows():
     """Resets used up the callers' retries at the same balancer."""
-    cut_off = CutOff()
-    cut_off.run(1.0)
-    cut_off.heard.clear()
-    cut_off.run(1.3)
-    before = cut_off.resets
-    cut_off.run(3.0)
-    assert cut_off.resets == before
-    assert cut_off.node.board.records.counters["left_to_others"] > 0
-
-
-def test_a_cut_off_balancer_goes_on_asking():
-    cut_off = CutOff()
-    cut_off.run(1.0)
-    cut_off.heard.clear()
-    cut_off.run(3.0)
-    effects = cut_off.node.tick(3.2)
+    scenario = IsolatedBalancer()
+    scenario.run(1.0)
+    scenario.heard.clear()
+    scenario.run(1.3)
+    before = scenario.resets
+    scenario.run(3.0)
+    assert scenario.resets == before
+    assert scenario.node.board.records.counters["left_to_others"] > 0
+
+
+def test_an_isolated_balancer_keeps_probing():
+    scenario = IsolatedBalancer()
+    scenario.run(1.0)
+    scenario.heard.clear()
+    scenario.run(3.0)
+    effects = scenario.node.tick(3.2)
     asked = {type(e.message) for e in effects if isinstance(e, SendPeer)}
     assert asked == {LoadAsk, ViewAsk}
--- a/notchhoist/flows/balancer/tests/test_liveness.py
+++ b/notchhoist/flows/balancer/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Silence of an agent that is being restarted ends no flow."""
+"""The silence of a restarting agent resets no flow."""
 
 import pytest
 
@@ -20,8 +20,8 @@
 STEP_S = 0.05
 
 
-class Silent:
-    """A balancer with two agents, the flow's one silent from the start."""
+class SilentAgent:
+    """A balancer with two agents; the agent of its flow never answers."""
 
     def __init__(self, reach):
         self.node = balancer(servers=2)
@@ -31,7 +31,7 @@
         self.checks = 0
         self.now = 0.0
 
-    def take(self, effects):
+    def handle(self, effects):
         self.resets += len(resets(effects))
         for effect in effects:
             if isinstance(effect, CheckHost) and self.reach is not None:
@@ -39,10 +39,10 @@
                 told = self.node.on_host_checked(
                     effect.host, self.reach, self.now
                 )
-                self.take(told)
+                self.handle(told)
             elif isinstance(effect, SendPeer) and effect.host != self.host:
                 load = LoadTell(0, 0, 0, False)
-                self.take(self.node.on_peer(effect.host, load, self.now))
+                self.handle(self.node.on_peer(effect.host, load, self.now))
 
     def run(self, until):
         sent = 0
@@ -51,16 +51,17 @@
             sent += 1
             for port in (40001, 40002):
                 data = request(data=b"x", port=port, seq=sent)
-                self.take(self.node.on_caller(data, self.now))
-            self.take(self.node.tick(self.now))
+                self.handle(self.node.on_caller(data, self.now))
+            self.handle(self.node.tick(self.now))
 
 
-def test_flows_of_an_agent_that_is_restarted_are_kept():
-    """They were reset while their server served.
+def test_flows_of_a_restarting_agent_are_kept():
+    """They were reset while their server was up.
 
-    The agent, stopped as planned, had told only balancers heard lately.
+    An agent that is stopped as planned announces it only to the balancers that
+    it heard lately.
     """
-    silent = Silent(Reach.REFUSED)
+    silent = SilentAgent(Reach.REFUSED)
     silent.run(8.0)
     assert silent.resets == 0
     assert not silent.node.board.by_host[silent.host].lost
@@ -70,27 +71,27 @@
     assert [host for host, _ in packets(forwarded)] == [silent.host]
 
 
-def test_flows_of_a_host_that_says_nothing_are_reset():
-    silent = Silent(Reach.SILENT)
+def test_flows_of_a_host_that_does_not_answer_are_reset():
+    silent = SilentAgent(Reach.SILENT)
     silent.run(1.5)
     assert silent.resets == 1
 
 
 def test_flows_of_a_paused_agent_are_reset():
-    """The kernel accepts connections while a process stands still."""
-    silent = Silent(Reach.ACCEPTED)
+    """The kernel accepts connections while a process is paused."""
+    silent = SilentAgent(Reach.ACCEPTED)
     silent.run(1.5)
     assert silent.resets == 1
 
 
-def test_nothing_is_given_up_before_a_check_has_ended():
-    silent = Silent(None)
+def test_no_flow_is_reset_before_a_host_check_has_ended():
+    silent = SilentAgent(None)
     silent.run(3.0)
     assert silent.resets == 0
 
 
-def test_a_host_that_dies_after_it_refused_is_given_up():
-    silent = Silent(Reach.REFUSED)
+def test_a_host_that_dies_after_a_refusal_is_declared_lost():
+    silent = SilentAgent(Reach.REFUSED)
     silent.run(2.0)
     silent.reach = Reach.SILENT
     silent.run(2.0 + AWAY_AFTER_REFUSAL_S - 0.1)
@@ -99,7 +100,7 @@
     assert silent.resets == 1
 
 
-def test_checks_are_bounded():
+def test_concurrent_checks_are_limited():
     node = balancer(servers=100)
     for server in list(node.board.servers.values()):
         node.health.suspect(server, 0.0, "test")
@@ -116,13 +117,13 @@
         fleet.on_removed(f"s{number}", 21, silent.now)
 
 
-def test_an_agent_that_ended_with_its_leaving_server_is_given_up():
+def test_an_agent_that_exited_with_its_drained_server_is_declared_lost():
     """Searches waited four seconds for it, and callers reached their deadline.
 
-    The platform had stopped it after its server, and its host went on to refuse
-    connections.
+    The platform had stopped the agent after its server, and the host refused
+    connections from then on.
     """
-    silent = Silent(Reach.REFUSED)
+    silent = SilentAgent(Reach.REFUSED)
     silent.run(0.5)
     publish(silent, draining=True, listed=False)
     began = silent.node.board.by_host[silent.host].probed_at or silent.now
@@ -133,8 +134,8 @@
     assert silent.resets == 1
 
 
-def test_one_that_announced_nothing_is_waited_for_longer():
-    silent = Silent(Reach.REFUSED)
+def test_an_agent_of_a_server_that_did_not_drain_is_awaited_longer():
+    silent = SilentAgent(Reach.REFUSED)
     silent.run(0.5)
     publish(silent, draining=False, listed=False)
     silent.run(0.5 + GONE_S - 0.1)
@@ -144,10 +145,10 @@
 
 
 @pytest.mark.parametrize("draining", [True, False])
-def test_one_that_may_be_restarted_beside_a_living_server_is_waited_for(
+def test_an_agent_that_may_restart_beside_a_live_server_is_awaited(
     draining,
 ):
-    silent = Silent(Reach.REFUSED)
+    silent = SilentAgent(Reach.REFUSED)
     silent.run(0.5)
     publish(silent, draining, listed=True)
     silent.run(8.0)
--- a/notchhoist/flows/balancer/tests/test_locality.py
+++ b/notchhoist/flows/balancer/tests/test_locality.py
@@ -1,4 +1,4 @@
-"""New flows go to near servers first where zones are far apart."""
+"""New flows go to local servers first where zones are far apart."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def balancer(far_s=0.0098, pace_ms=15, kind=ONCE, zones=ZONES, uses=ALL):
-    """Makes a balancer of zone a that has measured its distances."""
+    """Creates a balancer in zone a that has measured its distances."""
     node = make_balancer("a", crafting.CODEC, "seed", uses=uses)
     node.fleet.tables.on_table(crafting.table(routes=[crafting.route(kind)]), 1)
     names = [zone for zone, count in zones.items() for _ in range(count)]
@@ -41,12 +41,12 @@
 
 def answer(node, syn, host, kind, running, now):
     pace_ms = node.board.by_host[host].pace_ms
-    word = notes.to_balancer(kind, Load(running, running, pace_ms))
-    return node.on_agent(host, with_note(syn, word), now)
+    note = notes.to_balancer(kind, Load(running, running, pace_ms))
+    return node.on_agent(host, with_note(syn, note), now)
 
 
-def attempts(node, running=1, port=40001, is_busy=lambda _: True):
-    """Opens a flow; returns the zones asked, and how it was offered last."""
+def offer_until_accepted(node, running=1, port=40001, is_busy=lambda _: True):
+    """Opens a flow; returns the zones of its offers and the last one's kind."""
     syn = request(flags=SYN, port=port)
     effects = node.on_caller(syn, 1.0)
     zones = []
@@ -60,20 +60,23 @@
         effects = answer(node, syn, host, NoteKind.BUSY, running, 1.001)
 
 
-def test_near_servers_are_asked_first():
-    zones, kind = attempts(balancer(), running=9)
+def test_local_servers_get_the_first_offers():
+    zones, kind = offer_until_accepted(balancer(), running=9)
     assert zones[:4] == ["a"] * 4
     assert set(zones[4:6]) <= {"b", "c"}
     assert kind is NoteKind.PLACE
 
 
-def test_a_short_wait_near_is_better_than_the_way():
-    assert attempts(balancer(), running=1) == (["a"] * 5, NoteKind.PLACE)
+def test_a_short_local_queue_beats_a_remote_server():
+    assert offer_until_accepted(balancer(), running=1) == (
+        ["a"] * 5,
+        NoteKind.PLACE,
+    )
 
 
-def test_a_long_wait_near_is_worth_the_way():
+def test_a_remote_server_beats_a_long_local_queue():
     node = balancer()
-    zones, kind = attempts(
+    zones, kind = offer_until_accepted(
         node, running=3, is_busy=lambda host: zone_of(node, host) == "a"
     )
     assert len(zones) == 5
@@ -81,41 +84,43 @@
     assert kind is NoteKind.PLACE_IF_FREE
 
 
-def test_a_flow_of_many_requests_waits_longer_to_stay_near():
+def test_a_flow_of_many_requests_accepts_a_longer_local_queue():
     node = balancer(kind=RequestKind.IDEMPOTENT)
     for server in node.board.servers.values():
         server.flows = 10
-    assert attempts(node, running=4)[0] == ["a"] * 5
+    assert offer_until_accepted(node, running=4)[0] == ["a"] * 5
 
 
-def test_near_servers_that_fail_are_no_place_to_wait():
-    """They hand flows back though nothing runs there."""
-    zones, _ = attempts(balancer(), running=0)
+def test_flows_do_not_queue_at_failing_local_servers():
+    """Failing servers hand flows back although nothing runs there."""
+    zones, _ = offer_until_accepted(balancer(), running=0)
     assert set(zones[:6]) > {"a"}
 
 
-def test_near_servers_that_are_slow_are_not_asked_first():
+def test_slow_local_servers_do_not_get_the_first_offers():
     node = balancer()
     for server in node.board.servers.values():
         if server.entry.zone == "a" and server.entry.host != "10.0.0.1":
             server.pace_ms = 90
-    zones, _ = attempts(node, is_busy=lambda host: host == "10.0.0.1")
+    zones, _ = offer_until_accepted(
+        node, is_busy=lambda host: host == "10.0.0.1"
+    )
     assert zones[0] == "a"
     assert zones[1] != "a"
 
 
-def test_where_hardly_any_slot_is_free_words_decide():
-    """A zone that is overrun must be able to hand flows over."""
+def test_reported_loads_decide_if_hardly_any_slot_is_free():
+    """An overloaded zone must be able to pass flows on."""
     node = balancer()
     for _ in range(300):
         node.board.busy_shares.note(crafting.SERVICE, busy=True)
     for server in node.board.servers.values():
         server.running = 12 if server.entry.zone == "a" else 1
-    assert attempts(node)[0][0] != "a"
+    assert offer_until_accepted(node)[0][0] != "a"
 
 
-def test_what_attempts_meet_says_how_busy_a_service_is():
-    """Servers tell of their load mostly when they have just got a request."""
+def test_outcomes_of_offers_give_the_utilization_of_a_service():
+    """Servers report their load mostly just after they got a request."""
     node = balancer()
     servers = list(node.board.servers.values())
     for server in servers:
@@ -126,39 +131,41 @@
     assert node.opener.locality.costs(servers)["b"].flows > before
 
 
-def test_without_a_near_server_others_are_asked():
-    zones, _ = attempts(balancer(zones={"b": 4, "c": 4}))
+def test_remote_servers_get_offers_if_no_server_is_local():
+    zones, _ = offer_until_accepted(balancer(zones={"b": 4, "c": 4}))
     assert set(zones) <= {"b", "c"}
 
 
 @pytest.mark.parametrize("kind", [ONCE, RequestKind.IDEMPOTENT])
 def test_short_distances_change_no_decision(kind):
-    """The same servers in the same order, flow for flow."""
-    played = []
+    """Each flow is offered to the same servers in the same order."""
+    outcomes = []
     for uses in (ALL, ALL.without(["distances"])):
         node = balancer(far_s=0.0034, pace_ms=50, kind=kind, uses=uses)
-        played.append(
+        outcomes.append(
             [
-                attempts(
+                offer_until_accepted(
                     node, 1 + port % 3, port, lambda host: host > "10.0.0.3"
                 )
                 for port in range(40001, 40201)
             ]
         )
-    assert played[0] == played[1]
+    assert outcomes[0] == outcomes[1]
 
 
-def test_a_balancer_that_has_just_started_decides_as_before():
-    played = []
+def test_unknown_distances_change_no_decision():
+    outcomes = []
     for uses in (ALL, ALL.without(["distances"])):
         node = balancer(uses=uses)
         node.health.distances.by_zone.clear()
-        played.append([attempts(node, 1, port) for port in (40001, 40002)])
-    assert played[0] == played[1]
+        outcomes.append(
+            [offer_until_accepted(node, 1, port) for port in (40001, 40002)]
+        )
+    assert outcomes[0] == outcomes[1]
 
 
-def test_an_agent_that_cannot_be_heard_costs_one_wait():
-    """A cut one way: offers arrive and their answers do not."""
+def test_a_flow_is_offered_elsewhere_if_answers_are_lost():
+    """In a one-way partition offers arrive but their answers do not."""
     node = balancer()
     syn = request(flags=SYN)
     [(first, _)] = packets(node.on_caller(syn, 1.0))
@@ -168,7 +175,7 @@
     assert zone_of(node, second) == "a"
 
 
-def test_a_very_far_agent_is_waited_for():
+def test_the_answer_timeout_grows_with_the_distance():
     node = balancer(far_s=0.08, zones={"a": 1, "b": 4})
     syn = request(flags=SYN)
     [(near, _)] = packets(node.on_caller(syn, 1.0))
--- a/notchhoist/flows/balancer/tests/test_targeting.py
+++ b/notchhoist/flows/balancer/tests/test_targeting.py
@@ -1,4 +1,4 @@
-"""Weights hold among the services that have a living server."""
+"""Weights apply among the services that have a live server."""
 
 import pytest
 
@@ -22,7 +22,7 @@
     return node, route
 
 
-def chosen(node, route, now=NOW):
+def chosen_services(node, route, now=NOW):
     return [service_for(node.board, route, flow, now) for flow in FLOWS]
 
 
@@ -33,10 +33,10 @@
 HALVES = ((FIRST, 1), (SECOND, 1))
 
 
-def test_a_service_without_servers_leaves_its_share_to_the_rest():
+def test_the_share_of_a_service_without_servers_goes_to_the_others():
     targets = ((FIRST, 2), (SECOND, 1), (THIRD, 1))
-    before = chosen(*balancer(targets, servers(FIRST, SECOND, THIRD)))
-    after = chosen(*balancer(targets, servers(FIRST, SECOND)))
+    before = chosen_services(*balancer(targets, servers(FIRST, SECOND, THIRD)))
+    after = chosen_services(*balancer(targets, servers(FIRST, SECOND)))
     assert THIRD in before
     assert THIRD not in after
     kept = [old == new for old, new in zip(before, after, strict=True)]
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("gone", ["draining", "evacuated", "lost", "lapsed"])
-def test_servers_that_take_nothing_do_not_count(gone):
+def test_servers_that_take_no_new_flows_do_not_count(gone):
     node, route = balancer(HALVES, [entry(1), entry(2, "b", service=SECOND)])
     if gone == "draining":
         left = entry(2, "b", service=SECOND, draining=True)
@@ -57,29 +57,29 @@
         node.board.servers["s2"].lost = True
     else:
         node.fleet.on_removed("s2", 2, NOW)
-        assert SECOND in chosen(node, route, NOW + LAPSED_S / 2)
-    assert set(chosen(node, route, NOW + LAPSED_S)) == {FIRST}
+        assert SECOND in chosen_services(node, route, NOW + LAPSED_S / 2)
+    assert set(chosen_services(node, route, NOW + LAPSED_S)) == {FIRST}
 
 
-def test_overload_does_not_break_the_weights():
+def test_overload_does_not_change_the_shares():
     node, route = balancer(HALVES, servers(FIRST, SECOND))
-    before = chosen(node, route)
+    before = chosen_services(node, route)
     full = node.board.servers["s2"]
     full.running, full.full_until, full.suspected = 500, NOW + 9, True
-    assert chosen(node, route) == before
+    assert chosen_services(node, route) == before
 
 
-def test_weight_0_gets_nothing_even_where_nobody_else_serves():
+def test_weight_0_gets_no_flow_even_if_no_other_service_has_servers():
     node, route = balancer(((FIRST, 1), (SECOND, 0)), servers(SECOND, SECOND))
-    assert set(chosen(node, route)) == {FIRST}
+    assert set(chosen_services(node, route)) == {FIRST}
     assert resets(node.on_caller(request(flags=SYN), NOW))
 
 
-def test_an_unknown_service_of_a_split_is_passed_over():
+def test_an_unknown_service_of_a_split_is_skipped():
     node, _ = balancer(((FIRST, 1), ("nobody", 99)), servers(FIRST))
     assert packets(node.on_caller(request(flags=SYN), NOW))
 
 
-def test_one_target_is_never_replaced():
+def test_a_single_target_is_never_replaced():
     node, route = balancer(((SECOND, 1),), servers(FIRST))
-    assert chosen(node, route)[0] == SECOND
+    assert chosen_services(node, route)[0] == SECOND
