--- a/notchhoist/flows/balancer/health.py
+++ b/notchhoist/flows/balancer/health.py
@@ -21,8 +21,7 @@
 they take 15 KB/s of the 29 KB/s available to control traffic."""
 
 DOUBT_S = 0.1
-"""An agent that was heard within this time is not probed on a retransmission.
-"""
+"""An agent heard within this time is not probed on a retransmission."""
 
 PROBE_EVERY_S = 0.15
 """Interval between probes of an agent that owes an answer, seconds."""
@@ -41,9 +40,8 @@
 unanswered probes, which a packet loss of 3% causes once in 10**9 times."""
 
 LOW_BANDWIDTH_MBPS = 20
-"""A few concurrent uploads of 40 to 240 KB saturate a link below this
-bandwidth, Mbit/s; answers of live agents are then lost for a second and more.
-"""
+"""A few concurrent uploads of 40 to 240 KB saturate a link below this, Mbit/s;
+answers of live agents are then lost for a second and more."""
 
 LOW_BANDWIDTH_SUSPECTS = 2
 LOW_BANDWIDTH_LOST_AFTER_S = 2.4
@@ -229,9 +227,9 @@
     def _lost_after_s(self) -> float:
         """Returns the silence after which an agent is lost, seconds."""
         suspects = sum(item.suspected for item in self.awaiting_reply.values())
-        narrow = 0 < self.link_mbps < LOW_BANDWIDTH_MBPS
-        narrow = narrow and self.board.uses.narrow_patience
-        if narrow and suspects > LOW_BANDWIDTH_SUSPECTS:
+        low_bandwidth = 0 < self.link_mbps < LOW_BANDWIDTH_MBPS
+        low_bandwidth = low_bandwidth and self.board.uses.narrow_patience
+        if low_bandwidth and suspects > LOW_BANDWIDTH_SUSPECTS:
             return LOW_BANDWIDTH_LOST_AFTER_S
         return LOST_AFTER_S
 
--- a/notchhoist/flows/balancer/locality.py
+++ b/notchhoist/flows/balancer/locality.py
@@ -63,7 +63,7 @@
         costs: Costs,
         now: float,
     ) -> Sequence[Server]:
-        """Returns the servers that get the next conditional offer.
+        """Returns the servers among which the next conditional offer is made.
 
         Only an agent knows whether a slot is free, and a nearby agent answers
         sooner. While nearly every attempt fails, only a few are made, and the
@@ -79,7 +79,7 @@
         if attempts <= FULL_ATTEMPTS:
             return untried
         median_ms = _service_time_s(untried) * 1000
-        local = [
+        nearby = [
             server
             for server in untried
             if not _is_far(server, costs)
@@ -87,9 +87,9 @@
                 server, placing.capacity(server, median_ms), now
             )
         ]
-        return local or untried
+        return nearby or untried
 
-    def prefers_local_queue(
+    def prefers_nearby_queue(
         self, opening: Opening, untried: Sequence[Server], costs: Costs
     ) -> bool:
         """Tells whether queueing at a nearby server beats one more attempt.
@@ -106,9 +106,9 @@
         extra_s = min(costs[item.entry.zone].extra_s for item in untried)
         long_lived_flow = opening.route.long_lived
         trips = reaching.LONG_TRIPS if long_lived_flow else reaching.ONCE_TRIPS
-        return self._local_queue_wait_s(opening, costs) <= trips * extra_s
+        return self._nearby_queue_wait_s(opening, costs) <= trips * extra_s
 
-    def _local_queue_wait_s(self, opening: Opening, costs: Costs) -> float:
+    def _nearby_queue_wait_s(self, opening: Opening, costs: Costs) -> float:
         """Returns the shortest queueing time at a busy nearby server, seconds.
 
         A server that reports no free slot although hardly any request runs
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -115,7 +115,7 @@
         costs = self.locality.costs(shortlist)
         untried = self._untried(opening, shortlist)
         if_free = bool(untried) and self._offers_conditionally(opening)
-        if_free = if_free and not self.locality.prefers_local_queue(
+        if_free = if_free and not self.locality.prefers_nearby_queue(
             opening, untried, costs
         )
         choices = (
--- a/notchhoist/flows/balancer/tests/test_balancer.py
+++ b/notchhoist/flows/balancer/tests/test_balancer.py
@@ -94,7 +94,7 @@
     open_flow(node, port=40002)
     assert len({item.server for item in node.board.flows.values()}) == 2
     # Only the first host answers from now on.
-    found = []
+    flow_resets = []
     for step in range(1, 40):
         now = 0.05 * step
         for port in (40001, 40002):
@@ -102,8 +102,8 @@
             for effect in node.on_caller(data, now):
                 if isinstance(effect, SendPeer) and effect.host == "10.0.0.1":
                     node.on_peer("10.0.0.1", LoadTell(1, 0, 0, False), now)
-        found += resets(tick_among_dead(node, now))
-    assert len(found) == 1
+        flow_resets += resets(tick_among_dead(node, now))
+    assert len(flow_resets) == 1
 
 
 def test_a_host_whose_server_was_replaced_is_not_declared_lost():
--- a/notchhoist/flows/balancer/tests/test_locality.py
+++ b/notchhoist/flows/balancer/tests/test_locality.py
@@ -41,8 +41,8 @@
 
 def answer(node, syn, host, kind, running, now):
     pace_ms = node.board.by_host[host].pace_ms
-    note = notes.to_balancer(kind, Load(running, running, pace_ms))
-    return node.on_agent(host, with_note(syn, note), now)
+    reply_note = notes.to_balancer(kind, Load(running, running, pace_ms))
+    return node.on_agent(host, with_note(syn, reply_note), now)
 
 
 def offer_until_accepted(node, running=1, port=40001, is_busy=lambda _: True):
