--- a/notchhoist/flows/balancer/accepting.py
+++ b/notchhoist/flows/balancer/accepting.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for what becomes of its offers."""
+"""Balancer controller for the outcomes of offers."""
 
 from msgspec import Struct
 
@@ -9,29 +9,31 @@
 
 
 class OfferOutcomes(Struct, eq=False):
-    """Takes account of answers to offers.
+    """Processes the answers to offers.
 
     Attributes:
-        board: What the balancer knows.
-        distances: Is told what answers take.
+        board: State of the balancer.
+        distances: Gets the round-trip times of answers.
     """
 
     board: BalancerBoard
     distances: Distances
 
     def on_accepted(self, host: str, segment: Segment, now: float) -> None:
-        """Takes word that a backend server accepted a flow."""
-        self.time(host, segment.flow, now)
+        """Handles an agent's report that its backend server accepted a flow."""
+        self.record_round_trip(host, segment.flow, now)
         self._accept(host, segment, now)
         placement = self.board.flows.get(segment.flow)
         if placement is not None and placement.server.entry.host == host:
             placement.inferred = False
 
-    def on_chosen(self, segment: Segment, now: float) -> None:
-        """Takes a packet that a caller sends once its flow is accepted.
+    def on_data_before_acceptance(self, segment: Segment, now: float) -> None:
+        """Infers an acceptance from data that the caller sends.
 
-        Where only one server can have accepted, word of that may be lost, and
-        an offer to another one would open the flow there too.
+        A caller sends such a packet only once its flow is accepted, but the
+        agent's report of that may be lost, and another offer would then open
+        the flow at a second server as well. The acceptance is inferred only
+        where exactly one server can have accepted.
         """
         board = self.board
         opening = board.openings.get(segment.flow)
@@ -40,9 +42,9 @@
             return
         if not board.uses.distances:
             return
-        silent = set(opening.tried) - set(opening.busy)
-        silent.add(placement.server.entry.server_id)
-        if len(silent) == 1:
+        may_have_accepted = set(opening.tried) - set(opening.busy)
+        may_have_accepted.add(placement.server.entry.server_id)
+        if len(may_have_accepted) == 1:
             placement.inferred = True
             self._accept(placement.server.entry.host, segment, now)
 
@@ -51,7 +53,7 @@
         opening = board.openings.pop(segment.flow, None)
         if opening is not None:
             self.end_offer(opening)
-            self.observe(opening, "accepted", now)
+            self.record_duration(opening, "accepted", now)
             if opening.if_free:
                 board.busy_shares.note(opening.service, busy=False)
         placement = board.flows.get(segment.flow)
@@ -67,8 +69,8 @@
             placement.server = server
             placement.accepted = True
 
-    def time(self, host: str, flow: bytes, now: float) -> None:
-        """Takes the time of an agent's answer to the last offer of a flow."""
+    def record_round_trip(self, host: str, flow: bytes, now: float) -> None:
+        """Records the round-trip time of an answer to a flow's last offer."""
         opening = self.board.openings.get(flow)
         placement = self.board.flows.get(flow)
         if opening is None or placement is None:
@@ -76,14 +78,16 @@
         if placement.server.entry.host == host:
             self.distances.note(placement.server, opening.sent_at, now)
 
-    def observe(self, opening: Opening, outcome: str, now: float) -> None:
-        """Counts what the last offer of a flow took."""
+    def record_duration(
+        self, opening: Opening, outcome: str, now: float
+    ) -> None:
+        """Records how long the last offer of a flow took."""
         self.board.records.observe(
             Timing.OPENING, opening.service, outcome, now - opening.sent_at
         )
 
     def end_offer(self, opening: Opening) -> None:
-        """Counts the last offer of a flow no longer."""
+        """Stops counting the last offer of a flow as load of its server."""
         if not opening.tried:
             return
         server = self.board.servers.get(opening.tried[-1])
--- a/notchhoist/flows/balancer/isolation.py
+++ b/notchhoist/flows/balancer/isolation.py
@@ -1,8 +1,9 @@
-"""A balancer's controller that notices when it is cut off from everybody.
+"""Balancer controller that detects that this balancer is isolated.
 
-A balancer that hears no agent can serve nobody, while routers go on handing it
-its share of the flows. If it hears no other balancer either, the others are
-likely to be better off: it says that it is not ready until it hears somebody.
+A balancer that receives nothing from any agent cannot serve flows, while
+routers still send it its share of them. If it receives nothing from other
+balancers either, it is probably the one that is cut off. It then reports that
+it is not ready until it receives a message again.
 """
 
 from msgspec import Struct
@@ -12,30 +13,30 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.published.sharing import ViewSharer
 
-ASK_AFTER_S = 0.15
-"""Silence of every agent before other balancers are asked, seconds: when a
-single agent would be suspected."""
+ASK_BALANCERS_AFTER_S = 0.15
+"""Silence of all agents after which other balancers are queried, seconds; equal
+to the silence after which a single agent is suspected."""
 
-SILENT_S = 0.3
-"""Silence of them, too, seconds: two questions and a hundred round trips.
-Routers need a second more to look elsewhere."""
+ISOLATED_AFTER_S = 0.3
+"""Silence of the other balancers after which this one is isolated, seconds: two
+queries and a hundred round trips. Routers take another second to react."""
 
-ASKED_MIN = 3
-"""Agents that owe an answer before their silence says something of this host;
-fewer where the fleet has fewer."""
+SILENT_AGENTS_MIN = 3
+"""Agents that must owe an answer before their silence is attributed to this
+host; fewer if the fleet has fewer agents."""
 
-ASK_AGAIN_S = 1.0
-"""While other balancers answer they are asked this often, seconds."""
+ASK_BALANCERS_EVERY_S = 1.0
+"""Interval between queries while other balancers answer, seconds."""
 
 
-class IsolationKeeper(Struct, eq=False):
-    """Decides whether this balancer is cut off.
+class IsolationDetector(Struct, eq=False):
+    """Decides whether this balancer is isolated.
 
     Attributes:
-        board: What the balancer knows.
-        health: Knows which agents are silent.
-        sharer: Knows which balancers are.
-        asked_at: When the other balancers were first asked, or None.
+        board: State of the balancer.
+        health: Tells which agents are silent.
+        sharer: Tells when another balancer was last heard.
+        asked_at: When the other balancers were first queried, seconds, or None.
     """
 
     board: BalancerBoard
@@ -44,35 +45,42 @@
     asked_at: float | None = None
 
     def tick(self, now: float) -> None:
-        """Looks again; ``HealthKeeper`` asks for ticks while agents owe."""
+        """Updates the decision; ``HealthKeeper`` is due while agents owe.
+
+        Its ``due`` asks for ticks as long as it awaits replies, so this
+        controller needs none of its own.
+        """
         uses = self.board.uses
         if not uses.isolation or not self._agents_are_silent(now):
-            self._settle(False, now)
+            self._set_isolated(False, now)
             self.asked_at = None
             return
         if self.asked_at is None:
             self.asked_at = now
         if self.sharer.heard_at >= self.asked_at:
-            self._settle(False, now)
-            if now - self.asked_at >= ASK_AGAIN_S:
+            self._set_isolated(False, now)
+            if now - self.asked_at >= ASK_BALANCERS_EVERY_S:
                 self.asked_at = now
                 self.sharer.ask_widely(now)
             return
         self.sharer.ask_widely(now)
-        if now - self.asked_at >= SILENT_S and self.sharer.knows_others():
-            self._settle(True, now)
+        if (
+            now - self.asked_at >= ISOLATED_AFTER_S
+            and self.sharer.knows_others()
+        ):
+            self._set_isolated(True, now)
 
     def _agents_are_silent(self, now: float) -> bool:
-        since = now - ASK_AFTER_S
+        since = now - ASK_BALANCERS_AFTER_S
         if self.health.heard_at > since:
             return False
         owing = sum(
             server.probed_at is not None and server.probed_at <= since
-            for server in self.health.waiting.values()
+            for server in self.health.awaiting_reply.values()
         )
-        return owing >= min(ASKED_MIN, max(1, len(self.board.by_host)))
+        return owing >= min(SILENT_AGENTS_MIN, max(1, len(self.board.by_host)))
 
-    def _settle(self, isolated: bool, now: float) -> None:
+    def _set_isolated(self, isolated: bool, now: float) -> None:
         board = self.board
         if board.isolated is isolated:
             return
@@ -85,5 +93,5 @@
             "not ready" if isolated else "ready",
             agents_silent_s=round(now - self.health.heard_at, 3),
             balancers_silent_s=round(now - self.sharer.heard_at, 3),
-            agents_owing=len(self.health.waiting),
+            agents_owing=len(self.health.awaiting_reply),
         )
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -1,4 +1,4 @@
-"""A balancer's controller for new flows."""
+"""Balancer controller that places new flows."""
 
 from collections.abc import Sequence
 
@@ -8,9 +8,9 @@
 from notchhoist.flows.balancer.accepting import OfferOutcomes
 from notchhoist.flows.balancer.health import HealthKeeper
 from notchhoist.flows.balancer.informing import AgentInformer
-from notchhoist.flows.balancer.reaching import FlowReach
+from notchhoist.flows.balancer.locality import ZoneLocality
 from notchhoist.flows.balancer.resetting import FlowResetter
-from notchhoist.flows.balancer.targeting import note_placed, service_for
+from notchhoist.flows.balancer.targeting import count_new_flow, service_for
 from notchhoist.flows.boards.balancer_board import (
     BalancerBoard,
     Opening,
@@ -27,24 +27,25 @@
 from notchhoist.flows.model.wishes import Wish
 from notchhoist.flows.published.states import bound_of
 
-FLOWS_KEPT = 200_000
-"""Placements kept at the most; at 600 bytes each about 120 MB would be too
-much for a host of 128 MB, but 14 million flows over 580 hosts are 24,000."""
+PLACEMENTS_MAX = 200_000
+"""Maximum number of placements. At 600 bytes each they would take about 120 MB,
+too much for a host with 128 MB, but 14 million flows over 580 hosts are only
+24,000 per host."""
 
 
 class FlowOpener(Struct, eq=False):
-    """Places new flows and offers them elsewhere where a server says no.
+    """Places new flows, and offers a flow elsewhere if a server declines it.
 
     Attributes:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
-        resetter: Ends flows.
+        health: Monitors the health of agents.
+        resetter: Resets flows.
         draw: Random numbers in [0, 1).
-        early: Tells whether a caller may have tried before.
-        informer: Tells agents what they should know before they get a flow.
-        reach: Reckons with distances.
-        outcomes: Takes account of what becomes of offers.
+        early: Tells whether an opening packet may belong to a retry.
+        informer: Sends agents the state that they need before they get a flow.
+        locality: Weighs the network distance of servers.
+        outcomes: Processes the outcomes of offers.
     """
 
     board: BalancerBoard
@@ -54,15 +55,15 @@
     draw: Draw
     early: EarlyPackets
     informer: AgentInformer
-    reach: FlowReach
+    locality: ZoneLocality
     outcomes: OfferOutcomes
 
     def on_opening(self, route: Route, segment: Segment, now: float) -> None:
-        """Takes an opening packet or a copy of one."""
+        """Handles an opening packet or a retransmission of one."""
         flow = segment.flow
         placement = self.board.flows.get(flow)
         if placement is not None and placement.accepted:
-            # The server's acceptance may have been lost: it repeats it.
+            # The server's acceptance may have been lost; the server repeats it.
             wish = route.wish(segment.waited_s)
             self._send(placement.server, segment, wish, now)
             return
@@ -70,20 +71,20 @@
         if opening is None:
             opening = self._begin(route, segment, now)
             self.board.openings[flow] = opening
-        elif self._is_awaited(opening, now):
-            # A second server would open the flow too, and one in vain.
+        elif self._awaits_answer(opening, now):
+            # A second server would open the flow too, one of them in vain.
             return
         self.offer(opening, now)
 
-    def _is_awaited(self, opening: Opening, now: float) -> bool:
+    def _awaits_answer(self, opening: Opening, now: float) -> bool:
         """Tells whether an agent may still answer the last offer of a flow."""
-        waits = now < opening.sent_at + opening.wait_s
-        return self.board.uses.distances and waits
+        is_pending = now < opening.sent_at + opening.wait_s
+        return self.board.uses.distances and is_pending
 
     def _begin(self, route: Route, segment: Segment, now: float) -> Opening:
         since = now - segment.waited_s
         service = service_for(self.board, route, segment.flow, now)
-        note_placed(self.board, route, service)
+        count_new_flow(self.board, route, service)
         return Opening(
             asked_since=since,
             may_be_retry=self.early.may_be_retry(since),
@@ -95,27 +96,32 @@
         )
 
     def offer(self, opening: Opening, now: float) -> None:
-        """Offers a flow to the best server that it was not offered to.
+        """Offers a flow to the best server that it has not been offered to.
 
-        It is offered to a few on the condition that a slot is free, and then
-        to the best of those that had none: what they have told is news, and
-        what is known of others is older than a request takes.
+        A flow first gets a few conditional offers, which are accepted only if a
+        slot is free. Then it is offered unconditionally to the best of the
+        servers that had none: their load reports are recent, while those of
+        other servers are older than a request takes.
         """
         board = self.board
-        known = placing.open_to_new(
+        open_servers = placing.open_to_new(
             board.by_service.get(opening.service, []), board.view.evacuated
         )
-        servers = placing.usable(known, now)
-        few = placing.candidates(opening.segment.flow, known, board.zone)
-        few = [item for item in servers if item in few]
-        costs = self.reach.costs(few)
-        near = self._untried(opening, few)
-        if_free = bool(near) and self._asks_if_free(opening)
-        if_free = if_free and not self.reach.waits_near(opening, near, costs)
+        servers = placing.usable(open_servers, now)
+        shortlist = placing.candidates(
+            opening.segment.flow, open_servers, board.zone
+        )
+        shortlist = [item for item in servers if item in shortlist]
+        costs = self.locality.costs(shortlist)
+        untried = self._untried(opening, shortlist)
+        if_free = bool(untried) and self._offers_conditionally(opening)
+        if_free = if_free and not self.locality.prefers_nearby_queue(
+            opening, untried, costs
+        )
         choices = (
-            self.reach.first(opening, near, costs, now)
+            self.locality.servers_to_ask(opening, untried, costs, now)
             if if_free
-            else self._found_busy(opening, servers) or near
+            else self._busy_servers(opening, servers) or untried
         )
         choices = choices or self._untried(opening, servers)
         server = placing.choose(
@@ -128,22 +134,22 @@
             costs,
         )
         if server is None:
-            self._refuse(opening, len(servers), now)
+            self._reject(opening, len(servers), now)
             return
         self.outcomes.end_offer(opening)
         opening.if_free = if_free and bound_of(board, server).per_s == 0
-        self._log_offer(opening, server, len(choices), now)
+        self._record_offer(opening, server, len(choices), now)
         opening.tried.append(server.entry.server_id)
         opening.sent_at = now
-        opening.wait_s = self.reach.accept_wait_s(server)
+        opening.wait_s = self.locality.accept_wait_s(server)
         server.note_offer()
         self.informer.before_offer(server, now)
-        self._remember(opening, server, now)
+        self._record_placement(opening, server, now)
         age_s = now - opening.asked_since
         wish = opening.route.wish(age_s, opening.may_be_retry)
         self._send(server, opening.segment, wish, now, opening.if_free)
 
-    def _log_offer(
+    def _record_offer(
         self, opening: Opening, server: Server, choices: int, now: float
     ) -> None:
         again = len(opening.tried)
@@ -164,20 +170,20 @@
             found_busy=len(opening.busy),
         )
 
-    def _asks_if_free(self, opening: Opening) -> bool:
-        """Tells whether the next server gets a flow only if a slot is free."""
+    def _offers_conditionally(self, opening: Opening) -> bool:
+        """Tells whether the next offer is conditional on a free slot."""
         board = self.board
         if not board.uses.if_free or opening.route.kind is RequestKind.UPLOAD:
             return False
         attempts = board.busy_shares.attempts(opening.service)
         return len(opening.busy) < attempts
 
-    def _found_busy(
+    def _busy_servers(
         self, opening: Opening, servers: Sequence[Server]
     ) -> list[Server]:
-        """Returns the servers where a flow may wait, as it was told there.
+        """Returns the servers without a free slot where a flow may queue.
 
-        Once it has been offered to one of them it is past that choice.
+        The list is empty once the flow has been offered unconditionally.
         """
         if not opening.if_free:
             return []
@@ -193,7 +199,9 @@
             if server.entry.server_id not in opening.tried
         ]
 
-    def _remember(self, opening: Opening, server: Server, now: float) -> None:
+    def _record_placement(
+        self, opening: Opening, server: Server, now: float
+    ) -> None:
         flows = self.board.flows
         segment = opening.segment
         flows[segment.flow] = Placement(
@@ -204,7 +212,7 @@
             asked_since=opening.asked_since,
             used_since=float("inf"),
         )
-        if len(flows) > FLOWS_KEPT:
+        if len(flows) > PLACEMENTS_MAX:
             flows.popitem(last=False)
 
     def _send(
@@ -226,15 +234,16 @@
         self.board.outbox.append(SendAgent(server.entry.host, datagram))
         self.health.expect(server, now)
 
-    def _refuse(self, opening: Opening, willing: int, now: float) -> None:
-        """Gives a flow up at once: nothing has run, the caller may retry."""
+    def _reject(self, opening: Opening, willing: int, now: float) -> None:
+        """Gives up placing a flow; nothing has run, so the caller may retry."""
         board = self.board
         flow = opening.segment.flow
         self.outcomes.end_offer(opening)
         board.openings.pop(flow, None)
         board.flows.pop(flow, None)
-        if self.health.hears_nobody(now):
-            # The caller's copies go to another balancer once routers notice.
+        if self.health.are_all_agents_silent(now):
+            # The caller's retransmissions go to another balancer once routers
+            # see that this one is not ready.
             board.records.counters[Count.LEFT_TO_OTHERS] += 1
             board.records.decide(
                 "leave to others",
@@ -254,20 +263,20 @@
         )
 
     def on_refused(self, host: str, segment: Segment, now: float) -> None:
-        """Takes a flow back that a backend server did not take."""
+        """Handles a flow that a backend server did not take."""
         opening = self.board.openings.get(segment.flow)
         placement = self.board.flows.get(segment.flow)
-        here = placement is None or placement.server.entry.host == host
-        if opening is not None and here:
-            self.outcomes.observe(opening, "refused", now)
+        is_current = placement is None or placement.server.entry.host == host
+        if opening is not None and is_current:
+            self.outcomes.record_duration(opening, "refused", now)
             self.offer(opening, now)
-        elif placement is not None and here:
-            # It was accepted, but never got a slot; nothing has run.
+        elif placement is not None and is_current:
+            # The flow was accepted but never got a slot; nothing has run.
             del self.board.flows[segment.flow]
             self.resetter.reset(segment, "no slot in time", server_host=host)
 
     def on_busy(self, host: str, segment: Segment, now: float) -> None:
-        """Takes a flow back from a server without a free slot."""
+        """Handles a conditional offer that came back without a free slot."""
         opening = self.board.openings.get(segment.flow)
         placement = self.board.flows.get(segment.flow)
         if opening is None or not opening.if_free:
@@ -278,31 +287,31 @@
         counters[Count.FOUND_BUSY] += 1
         self.board.busy_shares.note(opening.service, busy=True)
         opening.busy.append(placement.server.entry.server_id)
-        self.outcomes.observe(opening, "busy", now)
-        self.outcomes.time(host, segment.flow, now)
+        self.outcomes.record_duration(opening, "busy", now)
+        self.outcomes.record_round_trip(host, segment.flow, now)
         self.offer(opening, now)
         if not opening.if_free:
             counters[Count.FOUND_NONE_FREE] += 1
 
     def on_full(self, host: str, segment: Segment, now: float) -> None:
-        """Takes a flow back from a server that bears none for a while."""
+        """Handles a flow returned by a server that takes none for a while."""
         server = self.board.by_host.get(host)
         if server is not None:
             server.full_until = now + notes.pause_of(segment.note)
         self.on_refused(host, segment, now)
 
     def tick(self, now: float) -> None:
-        """Offers flows elsewhere whose agent has kept silent."""
-        late = [
+        """Offers a flow elsewhere if its agent has not answered in time."""
+        overdue = [
             opening
             for opening in self.board.openings.values()
             if now >= opening.sent_at + opening.wait_s
         ]
-        for opening in late:
+        for opening in overdue:
             placement = self.board.flows.get(opening.segment.flow)
             if placement is not None:
                 self.health.suspect(placement.server, now, "no acceptance")
-            self.outcomes.observe(opening, "silent", now)
+            self.outcomes.record_duration(opening, "silent", now)
             self.offer(opening, now)
 
     def due(self) -> float:
@@ -325,16 +334,16 @@
     early: EarlyPackets,
     informer: AgentInformer,
 ) -> FlowOpener:
-    """Makes what places a balancer's new flows.
+    """Creates the controller that places a balancer's new flows.
 
     Args:
-        board: What the balancer knows.
+        board: State of the balancer.
         codec: Codec of the packets.
-        health: Watches over the agents.
-        resetter: Ends flows.
+        health: Monitors the health of agents.
+        resetter: Resets flows.
         draw: Random numbers in [0, 1).
-        early: Tells whether a caller may have tried before.
-        informer: Tells agents what they should know before they get a flow.
+        early: Tells whether an opening packet may belong to a retry.
+        informer: Sends agents the state that they need before they get a flow.
     """
     return FlowOpener(
         board=board,
@@ -344,6 +353,6 @@
         draw=draw,
         early=early,
         informer=informer,
-        reach=FlowReach(board, health.distances),
+        locality=ZoneLocality(board, health.distances),
         outcomes=OfferOutcomes(board, health.distances),
     )
