--- a/notchhoist/flows/agent/__init__.py
+++ b/notchhoist/flows/agent/__init__.py
@@ -1,14 +1,16 @@
-"""The agent's controllers and its node.
+"""The controllers of an agent and the node that combines them.
 
 From the top down, each module imports only those above it:
 
-* ``refusing``: tells callers that get no slot.
-* ``admitting``: shares out the slots of the backend server.
-* ``backend_watch``: notices when the backend server has ended.
-* ``load_counting``: counts its load; ``replies``: what goes back to balancers.
-* ``vacancies``: counts the slots that are free for new flows.
-* ``bearing``, ``offering``: which new flows the backend server gets.
-* ``telling``: tells balancers which flows are here.
-* ``handover``: packets of flows that should be here.
-* ``node``: puts them together.
+* ``refuser``: refuses requests that get no slot.
+* ``request_gate``: admits requests to the slots of the backend server.
+* ``backend_watch``: detects that the backend server has exited.
+* ``load_counting``: counts its load; ``replies``: sends replies to balancers.
+* ``vacancies``: tracks which slots are free for new flows.
+* ``bearing``: decides whether the backend server may get a new flow.
+* ``flow_offers``: offers new flows to the backend server.
+* ``telling``: answers balancers that search for flows.
+* ``packet_forwarder``: forwards packets of existing flows.
+* ``resting``: resets idle flows whose server has exited.
+* ``node``: combines the controllers.
 """
--- a/notchhoist/flows/agent/backend_watch.py
+++ b/notchhoist/flows/agent/backend_watch.py
@@ -1,8 +1,8 @@
-"""An agent's controller that notices when its backend server has ended."""
+"""An agent's controller that detects that its backend server has exited."""
 
 from msgspec import Struct
 
-from notchhoist.flows.agent.admitting import RequestGate
+from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.decisions.failing import AnswerTimes
 from notchhoist.flows.model.effects import CheckBackend, SendCaller
@@ -10,63 +10,64 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
-CHECK_PAUSE_S = 0.3
-"""Least time between two looks whether the backend server listens, seconds."""
+CHECK_INTERVAL_S = 0.3
+"""Least time between two liveness checks of the backend server, seconds."""
 
 
-LEAVING_S = 4.0
-"""How long a server that takes packets but no connections counts as leaving
-where no leave is known, seconds; twice what a leave takes."""
+UNANNOUNCED_DRAIN_S = 4.0
+"""How long a server that takes packets but refuses connections counts as
+draining although no drain was reported, seconds; twice what a drain takes."""
 
 
 class BackendWatch(Struct, eq=False):
-    """Looks whether the backend server listens, where it keeps silent.
+    """Checks the liveness of the backend server when it is silent.
 
     Attributes:
-        board: What the agent knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
-        gate: Shares out the slots.
+        request_gate: Admits requests to the slots of the backend server.
     """
 
     board: AgentBoard
     codec: SegmentCodec
-    gate: RequestGate
+    request_gate: RequestGate
 
     def on_accepted(self) -> None:
-        """Takes account of a connection that the backend server accepted.
+        """Clears the record of refused connections.
 
-        What was refused before was refused by a server that has ended.
+        A server that accepts a flow is alive; earlier connections were refused
+        by a previous incarnation.
         """
         self.board.refused_since = None
 
-    def check_soon(self, now: float) -> None:
-        """Asks for a look, a little after the last one."""
+    def schedule_check(self, now: float) -> None:
+        """Schedules a check, ``CHECK_INTERVAL_S`` after the last one or now."""
         board = self.board
         if board.check_due == float("inf"):
-            board.check_due = max(now, board.checked_at + CHECK_PAUSE_S)
+            board.check_due = max(now, board.checked_at + CHECK_INTERVAL_S)
 
     def tick(self, now: float) -> None:
-        """Begins a look that is due."""
+        """Begins a check that is due."""
         board = self.board
         if now >= board.check_due and not board.checking:
             board.checking = True
             board.outbox.append(CheckBackend(self._sample()))
 
     def _sample(self) -> bytes:
-        """Returns a packet that the server has had, or nothing."""
+        """Returns a packet that the server has already received, or nothing."""
         board = self.board
         if not board.uses.resting:
             return b""
-        resting = [held.sample for _, held in board.resting()]
-        never_shown = [
+        idle_samples = [held.sample for _, held in board.resting()]
+        open_samples = [
             held.sample
             for flow, held in board.flows.items()
             if held.phase is Phase.OPEN and flow not in board.waiting
         ]
         samples = (
             item
-            for item in resting + never_shown
-            if item is not None and not _changes_flow(item)
+            for item in idle_samples + open_samples
+            if item is not None and not _changes_flow_state(item)
         )
         return next((self.codec.with_note(item, 0) for item in samples), b"")
 
@@ -77,26 +78,26 @@
     def on_checked(
         self, listens: bool, now: float, ended: bool | None = None
     ) -> bool:
-        """Takes the outcome of a look; tells whether the server has ended.
+        """Handles the outcome of a check; tells whether the server has exited.
 
         Args:
-            listens: It accepts connections, or may do so.
+            listens: The server accepts connections, or may do so.
             now: Runtime clock, seconds.
-            ended: Whether a packet to it was refused, too; None where none was
+            ended: Whether a packet to it was refused, too; None if none was
                 sent.
         """
         board = self.board
         board.checking = False
         board.checked_at = now
         board.check_due = float("inf")
-        if not listens and not self._shows_end(ended, now):
+        if not listens and not self._has_exited(ended, now):
             if board.flows:
-                self.check_soon(now)
+                self.schedule_check(now)
             return False
         if listens:
             if board.backend_gone:
                 board.records.decide("backend server", b"", "back")
-                self.gate.times = AnswerTimes()
+                self.request_gate.times = AnswerTimes()
             board.backend_gone = False
             board.refused_since = None
             return False
@@ -110,11 +111,11 @@
         self._reset_all(now)
         return True
 
-    def _shows_end(self, ended: bool | None, now: float) -> bool:
-        """Tells whether a server that accepts no connections has ended.
+    def _has_exited(self, ended: bool | None, now: float) -> bool:
+        """Tells whether a server that refuses connections has exited.
 
-        One that leaves closes its listener first, and serves its open flows
-        for about two seconds more.
+        A draining server closes its listening socket first and serves its open
+        flows for about two more seconds.
         """
         board = self.board
         if board.refused_since is None:
@@ -130,30 +131,33 @@
             )
         if board.is_leaving:
             return bool(ended)
-        untold = ended is False and now - board.refused_since < LEAVING_S
-        return not untold
+        drains_unannounced = (
+            ended is False and now - board.refused_since < UNANNOUNCED_DRAIN_S
+        )
+        return not drains_unannounced
 
-    def on_reborn(self, now: float) -> None:
-        """Takes word that the backend server has started again.
+    def on_restarted(self, now: float) -> None:
+        """Handles a report that the backend server has restarted.
 
-        The new one holds no flow of before, but flows may have opened there
-        since. Each is handed on with its next packet, and the server says.
+        The new incarnation has none of the earlier flows, but flows may have
+        opened there since. All become unconfirmed: the next packet of each is
+        forwarded, and the server returns it if it does not have the flow.
         """
         board = self.board
         for flow, held in board.flows.items():
             if board.uses.resting and board.rests(flow, held):
-                continue  # The server is asked about it at once.
+                continue  # The survey probes it at once.
             if held.phase is Phase.OPEN:
                 held.phase = Phase.TRIED
                 held.running_since = None
-        self.gate.begin_anew(now)
+        self.request_gate.on_backend_restart(now)
         board.records.counters[Count.BACKEND_REBORN] += 1
         board.records.decide(
             "backend server", b"", "began anew", flows=len(board.flows)
         )
 
     def _reset_all(self, now: float) -> None:
-        """Resets the flows of a backend server that has ended."""
+        """Resets and forgets the flows of a server that has exited."""
         board = self.board
         for flow, held in board.flows.items():
             if held.phase is not Phase.OPEN or held.sample is None:
@@ -161,13 +165,13 @@
             reset = self.codec.make_reset(held.sample)
             board.outbox.append(SendCaller(held.sample.caller, reset))
             board.records.counters[Count.RESETS] += 1
-            rests = held.running_since is None
-            board.records.counters[Count.RESET_AT_REST] += rests
+            idle = held.running_since is None
+            board.records.counters[Count.RESET_AT_REST] += idle
             board.records.decide(
                 "reset",
                 flow,
                 "backend server gone",
-                at_rest=rests,
+                at_rest=idle,
                 used_s=round(now - held.last_at, 3),
                 refused_s=round(now - (board.refused_since or now), 3),
             )
@@ -176,6 +180,6 @@
         board.waiting.clear()
 
 
-def _changes_flow(segment: Segment) -> bool:
-    """Tells whether a copy of a packet might open or end its flow."""
+def _changes_flow_state(segment: Segment) -> bool:
+    """Tells whether a packet, sent again, might open or end its flow."""
     return segment.opens or segment.closes or segment.resets
--- a/notchhoist/flows/agent/load_counting.py
+++ b/notchhoist/flows/agent/load_counting.py
@@ -1,62 +1,65 @@
-"""An agent's count of how busy its backend server is."""
+"""An agent's measurement of the load of its backend server."""
 
 from msgspec import Struct, field
 
-from notchhoist.flows.agent.admitting import RequestGate
+from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model.held import EXPECTED_S, Phase
 from notchhoist.flows.model.notes import Load
 
-COUNT_EVERY_S = 0.01
-"""The load is counted anew after this time, seconds: a walk over 3,300 flows
-takes 0.3 ms."""
+COUNT_INTERVAL_S = 0.01
+"""How long a count is reused, seconds: counting 3,300 flows takes 0.3 ms."""
 
-_TAKEN = (Phase.OFFERED, Phase.ACCEPTED, Phase.OPEN)
+_COUNTED_PHASES = (Phase.OFFERED, Phase.ACCEPTED, Phase.OPEN)
 
 
 class LoadCounter(Struct, eq=False):
-    """Counts flows and requests, not more often than needed.
+    """Counts flows and requests and caches the result.
 
     Attributes:
-        board: What the agent knows.
-        gate: Knows the service time.
-        counted: The load when it was last counted.
-        counted_at: When that was, seconds.
-        offered_since: Flows offered since then.
+        board: Shared state of the agent.
+        request_gate: Knows the service time.
+        cached_load: The load at the last count.
+        cached_at: When the load was last counted, seconds.
+        offered_since_count: Flows offered since the last count.
     """
 
     board: AgentBoard
-    gate: RequestGate
-    counted: Load = field(default_factory=Load)
-    counted_at: float = float("-inf")
-    offered_since: int = 0
+    request_gate: RequestGate
+    cached_load: Load = field(default_factory=Load)
+    cached_at: float = float("-inf")
+    offered_since_count: int = 0
 
     def note_offer(self) -> None:
-        """Counts a flow that is offered to the backend server.
+        """Adds a flow that is offered to the backend server to the load.
 
-        After an outage a hundred come within the time that a count is kept.
+        After an outage a hundred flows arrive while one count is reused.
         """
         if self.board.uses.expected:
-            self.offered_since += 1
+            self.offered_since_count += 1
 
     def load(self, now: float) -> Load:
-        """Returns how busy the backend server is, counted a moment ago."""
-        if now - self.counted_at >= COUNT_EVERY_S:
-            self.counted_at = now
-            self.offered_since = 0
-            self.counted = self._count(now)
+        """Returns the load, counted at most ``COUNT_INTERVAL_S`` ago."""
+        if now - self.cached_at >= COUNT_INTERVAL_S:
+            self.cached_at = now
+            self.offered_since_count = 0
+            self.cached_load = self._count(now)
         return Load(
-            self.counted.flows + self.offered_since,
-            self.counted.running + self.offered_since,
-            self.counted.pace_ms,
+            self.cached_load.flows + self.offered_since_count,
+            self.cached_load.running + self.offered_since_count,
+            self.cached_load.pace_ms,
         )
 
     def _count(self, now: float) -> Load:
         flows = running = 0
-        stuck_s = self.gate.stuck_s()
+        timeout_s = self.request_gate.answer_timeout_s()
         expected_s = EXPECTED_S if self.board.uses.expected else 0.0
         for held in self.board.flows.values():
-            flows += held.phase in _TAKEN
-            running += held.is_busy(now, stuck_s, expected_s)
+            flows += held.phase in _COUNTED_PHASES
+            running += held.is_busy(now, timeout_s, expected_s)
         running += len(self.board.waiting)
-        return Load(flows, running, int(self.gate.told_pace_s() * 1000))
+        return Load(
+            flows,
+            running,
+            int(self.request_gate.reported_service_time_s() * 1000),
+        )
--- a/notchhoist/flows/agent/node.py
+++ b/notchhoist/flows/agent/node.py
@@ -1,18 +1,18 @@
-"""The node of an agent on the opaque-flow path."""
+"""The node of an agent for opaque flows."""
 
 from msgspec import Struct
 
-from notchhoist.flows.agent.admitting import RequestGate
 from notchhoist.flows.agent.backend_watch import BackendWatch
 from notchhoist.flows.agent.bearing import Limits, OpeningGate
-from notchhoist.flows.agent.handover import FlowHandover
+from notchhoist.flows.agent.flow_offers import FlowOffers
 from notchhoist.flows.agent.load_counting import LoadCounter
-from notchhoist.flows.agent.offering import FlowOffers
-from notchhoist.flows.agent.refusing import Refuser
+from notchhoist.flows.agent.packet_forwarder import PacketForwarder
+from notchhoist.flows.agent.refuser import Refuser
 from notchhoist.flows.agent.replies import Replies
-from notchhoist.flows.agent.resting import RestingFlows
-from notchhoist.flows.agent.telling import FlowTeller
-from notchhoist.flows.agent.vacancies import SlotVacancies
+from notchhoist.flows.agent.request_gate import RequestGate
+from notchhoist.flows.agent.resting import IdleFlowSurvey
+from notchhoist.flows.agent.telling import FlowLookup
+from notchhoist.flows.agent.vacancies import FreeSlots
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.decisions.queueing import SlotQueue
 from notchhoist.flows.model import notes
@@ -36,35 +36,36 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
-IDLE_KEPT_S = 60.0
-"""A silent flow is forgotten after this time, seconds, likewise."""
+IDLE_RETENTION_S = 60.0
+"""Time after its last packet until an open flow is forgotten, seconds."""
 
-BALANCER_KEPT_S = 60.0
-"""A balancer that was heard within this time is told of a stop, seconds: as
-long as a flow may live. One that was not told takes the silence of a restart
-for a loss and looks for flows, and idle flows last came long before."""
+STOP_NOTICE_WINDOW_S = 60.0
+"""Balancers heard within this time are notified of a planned stop, seconds; it
+equals the longest lifetime of a flow. A balancer whose flows are all idle was
+last heard long ago; without the notice it takes the silence of the restart for
+the loss of the agent and searches for the flows."""
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
-NO_LIMITS = Limits()
+DEFAULT_LIMITS = Limits()
 
 
 class AgentNode(Struct, eq=False):
-    """The decisions of an agent; see ``make_agent``.
+    """Turns the events of an agent into effects; see ``make_agent``.
 
     Attributes:
-        board: What it knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
-        gate: Shares out the slots.
-        watch: Notices when the backend server has ended.
-        sweep_due: When old knowledge is next forgotten, seconds.
+        gate: Admits requests to the slots of the backend server.
+        watch: Detects that the backend server has exited.
+        sweep_due: When expired flows are next removed, seconds.
         counter: Counts the load.
-        bearing: Says which new flows the backend server may get.
-        replies: Answers balancers.
+        bearing: Decides whether the backend server may get a new flow.
+        replies: Sends replies to balancers.
         offers: Offers new flows to the backend server.
-        teller: Tells balancers which flows are here.
-        handover: Takes packets of flows that should be here.
-        resting: Resets flows whose server ends while they rest.
+        lookup: Answers balancers that search for flows.
+        forwarder: Forwards packets of existing flows.
+        idle_survey: Resets idle flows whose server has exited.
     """
 
     board: AgentBoard
@@ -75,73 +76,75 @@
     bearing: OpeningGate
     replies: Replies
     offers: FlowOffers
-    teller: FlowTeller
-    handover: FlowHandover
-    resting: RestingFlows
+    lookup: FlowLookup
+    forwarder: PacketForwarder
+    idle_survey: IdleFlowSurvey
     sweep_due: float = 0.0
 
     @property
     def is_ready(self) -> bool:
-        """Whether the agent serves."""
+        """Whether the agent serves, which ends with a planned stop."""
         return not self.board.stopping
 
     def load(self, now: float) -> Load:
-        """Returns how busy the backend server is, counted a moment ago."""
+        """Returns the load of the backend server; see ``LoadCounter``."""
         return self.counter.load(now)
 
     def on_balancer(
         self, host: str, segment: Segment, now: float
     ) -> list[Effect]:
-        """Takes a packet of a balancer."""
+        """Handles a packet from a balancer."""
         board = self.board
         board.balancers[host] = now
         kind = notes.kind_of(segment.note)
         if kind is NoteKind.ASK:
-            self._answer(host, segment, now)
+            self._answer_lookup(host, segment, now)
         elif notes.tag_of(segment) != board.tag:
             board.records.counters[Count.WRONG_SERVICE] += 1
-            self.replies.give_back(host, segment, "other service", now)
+            self.replies.return_packet(host, segment, "other service", now)
         elif board.backend_gone:
-            self.watch.check_soon(now)
-            self.replies.give_back(host, segment, "backend server gone", now)
+            self.watch.schedule_check(now)
+            self.replies.return_packet(
+                host, segment, "backend server gone", now
+            )
         elif segment.opens:
             self.offers.on_opening(host, segment, kind, now)
         else:
-            self.handover.take(host, segment, kind, now)
-        return self._drain()
-
-    def _answer(self, host: str, segment: Segment, now: float) -> None:
-        kind = self.teller.kind_of(segment, notes.tag_of(segment), now)
-        self.replies.tell(host, kind, segment, now)
-
-    def _answer_flows(self, host: str, question: FlowsAsk, now: float) -> None:
-        """Answers about several flows, and hands samples to the server."""
-        self.teller.on_ask(host, question, self.load(now), now)
-        for segment in self.teller.decode(question.samples):
-            if question.tag != self.board.tag or self.board.backend_gone:
-                self.teller.note_absent(host, segment.flow, now)
+            self.forwarder.forward(host, segment, kind, now)
+        return self._take_effects()
+
+    def _answer_lookup(self, host: str, segment: Segment, now: float) -> None:
+        kind = self.lookup.presence_of(segment, notes.tag_of(segment), now)
+        self.replies.send_note(host, kind, segment, now)
+
+    def _answer_flows(self, host: str, query: FlowsAsk, now: float) -> None:
+        """Answers a query and forwards its sample packets to the server."""
+        self.lookup.on_query(host, query, self.load(now), now)
+        for segment in self.lookup.decode(query.samples):
+            if query.tag != self.board.tag or self.board.backend_gone:
+                self.lookup.note_absent(host, segment.flow, now)
                 continue
-            self.handover.take(host, segment, NoteKind.TRY, now)
+            self.forwarder.forward(host, segment, NoteKind.TRY, now)
             held = self.board.flows.get(segment.flow)
             if held is not None:
                 held.sampled = held.phase is Phase.TRIED
 
     def on_backend(self, segment: Segment, now: float) -> list[Effect]:
-        """Takes a packet that the backend server sent or gave back."""
+        """Handles a packet that the backend server sent or returned."""
         board = self.board
         board.records.counters[Count.ANSWER_PACKETS] += 1
-        self.resting.on_heard(now)
+        self.idle_survey.on_heard(now)
         if segment.returned:
             self._on_returned(segment, now)
-            return self._drain()
+            return self._take_effects()
         held = board.flows.get(segment.flow)
         if held is None:
-            # The agent has restarted; the server's answer shows the flow.
+            # The agent has restarted; the answer shows that the flow is open.
             held = HeldFlow(Phase.OPEN, "", now, now)
             board.flows[segment.flow] = held
         if held.phase is Phase.REFUSED:
-            # Copies of an acceptance that its caller must not take up.
-            return self._drain()
+            # Retransmissions of an acceptance that must not reach the caller.
+            return self._take_effects()
         held.note_received(segment)
         held.note_shown(segment, now)
         if segment.accepts:
@@ -150,11 +153,11 @@
         elif held.phase is Phase.TRIED:
             self._on_confirmed(held, now)
         if segment.size or segment.closes:
-            # The end of an answer may overtake its data.
+            # The packet that ends an answer may overtake its data.
             self.gate.on_answer(segment, held, now)
         if segment.resets:
             self.gate.on_reset(held)
-            self.resting.on_reset(held, segment.flow, now)
+            self.idle_survey.on_reset(held, segment.flow, now)
         if segment.closes or segment.resets:
             held.phase = Phase.CLOSED
             self.gate.forget(segment.flow, now)
@@ -167,50 +170,55 @@
                 segment.seq,
             )
         )
-        return self._drain()
+        return self._take_effects()
 
     def _on_confirmed(self, held: HeldFlow, now: float) -> None:
-        """Tells the balancer that a flow that was only tried is here."""
+        """Reports an unconfirmed flow as present to its balancer."""
         held.phase = Phase.OPEN
         if held.balancer and held.sample is not None:
-            self.replies.tell(held.balancer, NoteKind.PRESENT, held.sample, now)
+            self.replies.send_note(
+                held.balancer, NoteKind.PRESENT, held.sample, now
+            )
 
     def _on_returned(self, segment: Segment, now: float) -> None:
-        """Passes on what the backend server does not take or hold."""
+        """Handles a packet that the backend server has returned."""
         held = self.board.flows.pop(segment.flow, None)
         if held is not None and held.is_young(now):
-            # It held the flow: the server has started again since.
-            self.bearing.note_began_anew(now)
+            # The server held this flow; it has restarted since.
+            self.bearing.note_backend_restart(now)
         self.offers.offered.pop(segment.flow, None)
         self.gate.forget(segment.flow, now)
-        if held is None or self.resting.take_returned(held, segment, now):
+        if held is None or self.idle_survey.reset_returned(held, segment, now):
             return
         if not held.balancer:
             return
-        tried = held.phase is Phase.TRIED
-        if tried and held.sampled:
-            self.teller.note_absent(held.balancer, segment.flow, now)
+        unconfirmed = held.phase is Phase.TRIED
+        if unconfirmed and held.sampled:
+            self.lookup.note_absent(held.balancer, segment.flow, now)
             return
-        self.replies.give_back(
-            held.balancer, segment, "" if tried else "server returned it", now
+        self.replies.return_packet(
+            held.balancer,
+            segment,
+            "" if unconfirmed else "server returned it",
+            now,
         )
 
     def on_checked(
         self, listens: bool, now: float, ended: bool | None = None
     ) -> list[Effect]:
-        """Takes the outcome of ``CheckBackend``; see ``BackendWatch``."""
-        was_gone = self.board.backend_gone
-        tried = self._tried_flows()
+        """Handles the outcome of ``CheckBackend``; see ``BackendWatch``."""
+        was_down = self.board.backend_gone
+        unconfirmed = self._unconfirmed_flows()
         if self.watch.on_checked(listens, now, ended):
             self.offers.offered.clear()
-            for flow, held in tried:
-                self.teller.note_absent(held.balancer, flow, now)
-        if was_gone and not self.board.backend_gone:
-            self.bearing.note_began_anew(now)
-        return self._drain()
-
-    def _tried_flows(self) -> list[tuple[bytes, HeldFlow]]:
-        """Returns flows that balancers wait for the server's word on."""
+            for flow, held in unconfirmed:
+                self.lookup.note_absent(held.balancer, flow, now)
+        if was_down and not self.board.backend_gone:
+            self.bearing.note_backend_restart(now)
+        return self._take_effects()
+
+    def _unconfirmed_flows(self) -> list[tuple[bytes, HeldFlow]]:
+        """Returns unconfirmed flows that a balancer awaits a report of."""
         return [
             (flow, held)
             for flow, held in self.board.flows.items()
@@ -220,80 +228,80 @@
     def on_peer(
         self, host: str, message: PeerMessage, now: float
     ) -> list[Effect]:
-        """Takes a control message."""
+        """Handles a control message from a balancer."""
         self.board.balancers[host] = now
         if isinstance(message, LoadAsk):
-            self._take_state(message, now)
-            self.replies.tell_load(host, now)
-            self.offers.on_told(now)
+            self._update_state(message, now)
+            self.replies.send_load(host, now)
+            self.offers.decide_deferred(now)
         elif isinstance(message, FlowsAsk):
             self._answer_flows(host, message, now)
-        return self._drain()
+        return self._take_effects()
 
-    def _take_state(self, message: LoadAsk, now: float) -> None:
+    def _update_state(self, message: LoadAsk, now: float) -> None:
         self.board.slots = message.slots
         if message.state is None:
             return
-        if self.bearing.take_state(message.state, now):
-            self.bearing.note_began_anew(now)
-            self.watch.on_reborn(now)
-            self.resting.survey("server began anew")
+        if self.bearing.update_state(message.state, now):
+            self.bearing.note_backend_restart(now)
+            self.watch.on_restarted(now)
+            self.idle_survey.survey("server began anew")
 
     def tick(self, now: float) -> list[Effect]:
-        """Does what is due."""
+        """Runs all timers that are due."""
         self.offers.tick(now)
-        if self.bearing.is_overdue(now):
+        if self.bearing.is_past_evacuation_cutoff(now):
             self.gate.refuse_unopened("zone evacuated", now)
         self.gate.tick(now)
-        self.resting.tick(now)
+        self.idle_survey.tick(now)
         self.watch.tick(now)
-        if now >= self.teller.tell_due:
-            self.teller.tick(self.load(now), now)
+        if now >= self.lookup.outcomes_due:
+            self.lookup.tick(self.load(now), now)
         if now >= self.sweep_due:
-            self.sweep_due = now + SWEEP_S
+            self.sweep_due = now + SWEEP_INTERVAL_S
             self._sweep(now)
-        return self._drain()
+        return self._take_effects()
 
     def _sweep(self, now: float) -> None:
         flows = self.board.flows
-        old = [
+        expired = [
             flow
             for flow, held in flows.items()
             if now - held.last_at
-            > (CLOSED_KEPT_S if held.phase in ENDED else IDLE_KEPT_S)
+            > (CLOSED_KEPT_S if held.phase in ENDED else IDLE_RETENTION_S)
         ]
-        for flow in old:
+        for flow in expired:
             del flows[flow]
             self.gate.forget(flow, now)
         self.gate.sweep(now)
 
     def stop(self, now: float) -> list[Effect]:
-        """Begins a planned stop and tells the balancers of it."""
+        """Begins a planned stop and notifies the balancers."""
         self.board.stopping = True
         for host, heard_at in self.board.balancers.items():
-            if now - heard_at <= BALANCER_KEPT_S:
-                self.replies.tell_load(host, now)
-        return self._drain()
+            if now - heard_at <= STOP_NOTICE_WINDOW_S:
+                self.replies.send_load(host, now)
+        return self._take_effects()
 
     def awaits_end(self) -> bool:
-        """Tells whether a stop is to wait for the end of the server.
+        """Tells whether a planned stop must wait until the server exits.
 
-        One that leaves ends soon, and nobody else can see it end.
+        A draining server exits soon, and only its agent can observe that.
         """
-        return self.resting.awaits_end()
+        return self.idle_survey.awaits_backend_exit()
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
         return min(
             self.offers.due(),
             self.watch.due(),
-            self.resting.due(),
-            self.teller.tell_due,
+            self.idle_survey.due(),
+            self.lookup.outcomes_due,
             self.sweep_due,
             self.gate.due(),
         )
 
-    def _drain(self) -> list[Effect]:
+    def _take_effects(self) -> list[Effect]:
         effects = list(self.board.outbox)
         self.board.outbox.clear()
         return effects
@@ -305,41 +313,49 @@
     now: float,
     uses: Mechanisms = ALL,
     sees_all: bool = False,
-    limits: Limits = NO_LIMITS,
+    limits: Limits = DEFAULT_LIMITS,
 ) -> AgentNode:
-    """Makes the decisions of an agent that starts now.
+    """Returns the node of an agent that starts now.
 
     Args:
-        service: Service of the backend server beside it.
+        service: Service of the backend server on this host.
         codec: Codec of the packets.
         now: Runtime clock, seconds.
         uses: Which mechanisms are in use.
-        sees_all: The whole system starts for the first time.
-        limits: Bounds from the settings.
+        sees_all: The whole system starts for the first time, so no flow is
+            older than the agent.
+        limits: Limits for new flows, from the settings.
     """
     tag = notes.service_tag(service)
     board = AgentBoard(service, tag, now, sees_all, uses=uses)
     refuser = Refuser(board, codec)
-    gate = RequestGate(board, codec, refuser, queue=SlotQueue(uses))
-    watch = BackendWatch(board, codec, gate)
-    counter = LoadCounter(board, gate)
-    teller = FlowTeller(board, codec)
-    bearing = OpeningGate(board, limits)
+    request_gate = RequestGate(board, codec, refuser, queue=SlotQueue(uses))
+    watch = BackendWatch(board, codec, request_gate)
+    counter = LoadCounter(board, request_gate)
+    lookup = FlowLookup(board, codec)
+    opening_gate = OpeningGate(board, limits)
     replies = Replies(board, codec, counter)
-    vacancies = SlotVacancies(board, gate)
-    offers = FlowOffers(board, codec, bearing, vacancies, replies, watch)
+    free_slots = FreeSlots(board, request_gate)
+    offers = FlowOffers(board, codec, opening_gate, free_slots, replies, watch)
     return AgentNode(
         board=board,
         codec=codec,
-        gate=gate,
+        gate=request_gate,
         watch=watch,
         counter=counter,
-        bearing=bearing,
+        bearing=opening_gate,
         replies=replies,
         offers=offers,
-        teller=teller,
-        handover=FlowHandover(
-            board, codec, gate, refuser, watch, bearing, replies, teller
+        lookup=lookup,
+        forwarder=PacketForwarder(
+            board,
+            codec,
+            request_gate,
+            refuser,
+            watch,
+            opening_gate,
+            replies,
+            lookup,
         ),
-        resting=RestingFlows(board, codec, watch),
+        idle_survey=IdleFlowSurvey(board, codec, watch),
     )
--- a/notchhoist/flows/agent/handover.py
+++ b/notchhoist/flows/agent/packet_forwarder.py
@@ -1,13 +1,13 @@
-"""An agent's controller for packets of flows that should be at its server."""
+"""An agent's controller that forwards packets of existing flows."""
 
 from msgspec import Struct
 
-from notchhoist.flows.agent.admitting import RequestGate
 from notchhoist.flows.agent.backend_watch import BackendWatch
 from notchhoist.flows.agent.bearing import OpeningGate
-from notchhoist.flows.agent.refusing import Refuser
+from notchhoist.flows.agent.refuser import Refuser
 from notchhoist.flows.agent.replies import Replies
-from notchhoist.flows.agent.telling import FlowTeller
+from notchhoist.flows.agent.request_gate import RequestGate
+from notchhoist.flows.agent.telling import FlowLookup
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBackend
@@ -16,75 +16,76 @@
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
 
-class FlowHandover(Struct, eq=False):
-    """Hands packets to the backend server, or gives them back.
+class PacketForwarder(Struct, eq=False):
+    """Forwards packets to the backend server or returns them to balancers.
 
     Attributes:
-        board: What the agent knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
-        gate: Shares out the slots.
-        refuser: Tells callers that get no slot.
-        watch: Notices when the backend server has ended.
-        bearing: Says which new flows the backend server may get.
-        replies: Answers balancers.
-        teller: Knows which flows are here.
+        request_gate: Admits requests to the slots of the backend server.
+        refuser: Resets flows whose requests get no slot.
+        watch: Detects that the backend server has exited.
+        opening_gate: Decides whether a flow may still open.
+        replies: Sends replies to balancers.
+        lookup: Knows which flows are at the backend server.
     """
 
     board: AgentBoard
     codec: SegmentCodec
-    gate: RequestGate
+    request_gate: RequestGate
     refuser: Refuser
     watch: BackendWatch
-    bearing: OpeningGate
+    opening_gate: OpeningGate
     replies: Replies
-    teller: FlowTeller
+    lookup: FlowLookup
 
-    def take(
+    def forward(
         self, host: str, segment: Segment, kind: NoteKind, now: float
     ) -> None:
-        """Takes a packet of a balancer that believes its flow to be here.
+        """Handles a packet whose flow the balancer believes to be here.
 
         Args:
             host: Host of the balancer.
             segment: The packet.
-            kind: How sure the balancer is.
+            kind: ``TRY`` where the balancer does not know whether the flow is
+                here.
             now: Runtime clock, seconds.
         """
         board = self.board
         held = board.flows.get(segment.flow)
-        if held is None or not self.teller.is_here(held, segment):
+        if held is None or not self.lookup.is_here(held, segment):
             if held is not None or (
-                kind is not NoteKind.TRY and self.teller.knows_all(now)
+                kind is not NoteKind.TRY and self.lookup.knows_all_flows(now)
             ):
-                self.replies.give_back(host, segment, "flow not here", now)
+                self.replies.return_packet(host, segment, "flow not here", now)
                 return
             held = HeldFlow(Phase.TRIED, host, now, now)
             board.flows[segment.flow] = held
         if held.phase is Phase.REFUSED:
             held.last_at = now
-            self.refuser.reset_again(segment)
+            self.refuser.reset_unopened(segment)
             return
         if held.phase is Phase.TRIED:
-            # Only the backend server can tell whether the flow is here, if it
-            # has not ended: then nobody would say anything.
-            self.watch.check_soon(now)
-            self._note_use(held, host, segment, now)
+            # Only the backend server knows whether the flow is here. If it has
+            # exited no answer comes, so its liveness is checked.
+            self.watch.schedule_check(now)
+            self._update_held(held, host, segment, now)
             board.outbox.append(SendBackend(self.codec.with_note(segment, 0)))
             return
         opening = held.phase is Phase.ACCEPTED
-        if opening and self.bearing.is_overdue(now):
+        if opening and self.opening_gate.is_past_evacuation_cutoff(now):
             held.phase = Phase.REFUSED
-            self.refuser.reset_again(segment)
+            self.refuser.reset_unopened(segment)
             board.records.decide("reset", segment.flow, "zone evacuated")
             return
-        self._note_use(held, host, segment, now)
+        self._update_held(held, host, segment, now)
         wish = notes.wish_of(segment.note)
         first = opening or held.request_end is None
         if first and self.board.uses.opening_wish:
             wish = held.wish_now(wish, now)
-        self.gate.take(held, segment, wish, opening, now)
+        self.request_gate.admit(held, segment, wish, opening, now)
 
-    def _note_use(
+    def _update_held(
         self, held: HeldFlow, host: str, segment: Segment, now: float
     ) -> None:
         held.balancer = host
@@ -97,7 +98,7 @@
             held.since = now
             held.opening = None
         if segment.size and held.is_copy(segment, now):
-            # A copy: the backend server may not have had the first one.
-            self.watch.check_soon(now)
+            # A retransmission: the server may not have received the first.
+            self.watch.schedule_check(now)
         if segment.resets:
             held.phase = Phase.CLOSED
--- a/notchhoist/flows/agent/refusing.py
+++ b/notchhoist/flows/agent/refuser.py
@@ -1,4 +1,4 @@
-"""An agent's controller that tells callers that their requests get no slot."""
+"""An agent's controller that refuses requests which get no slot."""
 
 from msgspec import Struct
 
@@ -13,10 +13,10 @@
 
 
 class Refuser(Struct, eq=False):
-    """Ends flows of which nothing has run and nothing will.
+    """Ends flows of which no request has run.
 
     Attributes:
-        board: What the agent knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
     """
 
@@ -29,7 +29,15 @@
         now: float,
         reason: str = "no slot in time",
     ) -> None:
-        """Lets the balancer reset a flow that has not opened."""
+        """Refuses a queued request of an unopened flow.
+
+        The note to the balancer makes it reset the flow.
+
+        Args:
+            request: The request, which is removed from the queue.
+            now: Runtime clock, seconds.
+            reason: Why it is refused, for the log.
+        """
         board = self.board
         del board.waiting[request.flow]
         board.observe_wait(request, "refused", now)
@@ -48,16 +56,16 @@
             slots=board.slots,
         )
 
-    def let_go(
+    def reset_abandoned(
         self, request: HeldRequest, segment: Segment, now: float
     ) -> None:
-        """Ends the flow of a caller that has given up; nothing has run."""
+        """Resets the flow of a caller that has abandoned its queued request."""
         board = self.board
         del board.waiting[request.flow]
         board.observe_wait(request, "caller left", now)
         board.records.counters[Count.CALLERS_LEFT] += 1
         request.held.phase = Phase.REFUSED
-        self.reset_again(segment)
+        self.reset_unopened(segment)
         board.records.decide(
             "reset",
             request.flow,
@@ -67,8 +75,8 @@
             waiting=len(board.waiting),
         )
 
-    def reset_again(self, segment: Segment) -> None:
-        """Resets a flow that never opened; an earlier reset may be lost."""
+    def reset_unopened(self, segment: Segment) -> None:
+        """Resets an unopened flow; an earlier reset may have been lost."""
         if segment.resets:
             return
         reset = self.codec.make_reset(segment)
--- a/notchhoist/flows/agent/replies.py
+++ b/notchhoist/flows/agent/replies.py
@@ -1,4 +1,4 @@
-"""What an agent sends back to balancers, each with its load."""
+"""Replies of an agent to balancers; each reports the load."""
 
 from msgspec import Struct
 
@@ -13,10 +13,10 @@
 
 
 class Replies(Struct, eq=False):
-    """Answers balancers.
+    """Sends replies to balancers.
 
     Attributes:
-        board: What the agent knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
         counter: Counts the load.
     """
@@ -25,21 +25,26 @@
     codec: SegmentCodec
     counter: LoadCounter
 
-    def tell(
+    def send_note(
         self, host: str, kind: NoteKind, segment: Segment, now: float
     ) -> None:
-        """Tells a balancer something about the flow of a packet."""
+        """Sends a note about the flow of a packet, with the packet's header."""
         note = notes.to_balancer(kind, self.counter.load(now))
         datagram = self.codec.head_with_note(segment, note)
         self.board.outbox.append(SendBalancer(host, datagram))
 
-    def give_back(
+    def return_packet(
         self, host: str, segment: Segment, reason: str, now: float
     ) -> None:
-        """Sends a packet back whose flow is not, or will not be, here.
+        """Returns a packet whose flow is not, or will not be, here.
 
-        Without a reason it is not logged: the balancer that tries one agent
-        after the other logs the outcome.
+        Args:
+            host: Host of the balancer.
+            segment: The packet.
+            reason: Why, for the log. If empty nothing is logged, since a
+                balancer that sends sample packets to several agents logs the
+                outcome itself.
+            now: Runtime clock, seconds.
         """
         kind = NoteKind.REFUSED if segment.opens else NoteKind.RETURNED
         note = notes.to_balancer(kind, self.counter.load(now))
@@ -51,24 +56,24 @@
                 "give back", segment.flow, kind.name.lower(), reason=reason
             )
 
-    def turn_away(
+    def send_full(
         self, host: str, segment: Segment, pause_s: float, now: float
     ) -> None:
-        """Sends a new flow back that the backend server is not to get yet."""
+        """Returns an opening packet with the pause until the next may come."""
         note = notes.full(self.counter.load(now), pause_s)
         datagram = self.codec.with_note(segment, note)
         self.board.outbox.append(SendBalancer(host, datagram))
         self.board.records.counters[Count.TURNED_AWAY] += 1
 
-    def tell_busy(self, host: str, segment: Segment, now: float) -> None:
-        """Sends a new flow back that would have to wait for a slot."""
+    def send_busy(self, host: str, segment: Segment, now: float) -> None:
+        """Returns the opening packet of a flow that would wait for a slot."""
         note = notes.to_balancer(NoteKind.BUSY, self.counter.load(now))
         datagram = self.codec.with_note(segment, note)
         self.board.outbox.append(SendBalancer(host, datagram))
         self.board.records.counters[Count.FOUND_BUSY] += 1
 
-    def tell_load(self, host: str, now: float) -> None:
-        """Tells a balancer the load, and what is known of the server."""
+    def send_load(self, host: str, now: float) -> None:
+        """Sends the load and the revision of the known server state."""
         load = self.counter.load(now)
         state = self.board.state
         message = LoadTell(
--- a/notchhoist/flows/agent/admitting.py
+++ b/notchhoist/flows/agent/request_gate.py
@@ -1,8 +1,8 @@
-"""An agent's controller for the slots of its backend server."""
+"""An agent's admission control for requests: the slots of its server."""
 
 from msgspec import Struct, field, structs
 
-from notchhoist.flows.agent.refusing import Refuser
+from notchhoist.flows.agent.refuser import Refuser
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.decisions.failing import AnswerTimes
 from notchhoist.flows.decisions.holding import HeldRequest
@@ -19,33 +19,35 @@
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 from notchhoist.flows.model.wishes import Wish
 
-GUESSED_PACE_S = 0.05
-"""Service time before the first answer, seconds. Usual ones are 30 to 80 ms on
-the deployments of today, and twice that at the start."""
+DEFAULT_SERVICE_TIME_S = 0.05
+"""Assumed service time before the first answer, seconds. Current deployments
+have 30 to 80 ms, and twice that after a start."""
 
-SHED_EVERY_S = 0.05
-"""Time between two looks for requests that wait in vain, seconds: about a
-service time, and 2 ms of work for 100 that wait."""
+SHED_INTERVAL_S = 0.05
+"""Time between two checks for unservable requests, seconds: about a service
+time. A check of 100 queued requests takes 2 ms."""
 
-OUTAGE_S = 3.0
-"""An agent younger than this, seconds, that hears from balancers which are as
-young takes it that everything has just started."""
+STARTUP_WINDOW_S = 3.0
+"""An agent that is younger than this, seconds, and hears from a balancer that
+has just started assumes that the whole system has just started, and that
+callers may be on a retry."""
 
-GIVEN_UP_S = 0.5
-"""A request that got no answer for at least this time, and for ``STUCK_PACES``
-service times, counts as failed, seconds: twice the objectives of today."""
+ABANDONED_MIN_S = 0.5
+"""A request that ends unanswered counts as failed if it took longer than this,
+seconds, and than ``STUCK_PACES`` service times. It is twice the latency
+objectives of current deployments."""
 
 
 class RequestGate(Struct, eq=False):
-    """Lets a backend server have as many requests as it works on.
+    """Limits the requests at a backend server to the number of its slots.
 
     Attributes:
-        board: What the agent knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
-        refuser: Tells callers that get no slot.
-        times: Judges the backend server's answers.
-        queue: Picks who gets a slot.
-        shed_due: When to look next for requests that wait in vain, seconds.
+        refuser: Resets flows whose requests get no slot.
+        times: Estimates from answer times whether the server is failing.
+        queue: Picks the request that gets the next slot.
+        shed_due: When unservable requests are next looked for, seconds.
     """
 
     board: AgentBoard
@@ -55,7 +57,7 @@
     queue: SlotQueue = field(default_factory=SlotQueue)
     shed_due: float = 0.0
 
-    def take(
+    def admit(
         self,
         held: HeldFlow,
         segment: Segment,
@@ -63,23 +65,23 @@
         opening: bool,
         now: float,
     ) -> None:
-        """Takes a packet of a flow that is here: passes it on or holds it.
+        """Forwards a packet of a flow at this server, or queues it.
 
         Args:
             held: The flow.
             segment: The packet.
-            wish: What the balancer says of the flow's requests.
-            opening: The packet ends the handshake.
+            wish: What the balancer reports of the flow's requests.
+            opening: The packet completes the handshake.
             now: Runtime clock, seconds.
         """
         if segment.size:
             self.board.promised.pop(segment.flow, None)
         waiting = self.board.waiting.get(segment.flow)
-        if waiting is not None and self._has_left(waiting, segment, now):
-            self.refuser.let_go(waiting, segment, now)
+        if waiting is not None and self._is_abandoned(waiting, segment, now):
+            self.refuser.reset_abandoned(waiting, segment, now)
             return
         if segment.resets:
-            self._note_given_up(held, now)
+            self._note_abandoned(held, now)
             self.forget(segment.flow, now)
         elif waiting is not None:
             if segment.size or segment.closes or waiting.unopened:
@@ -88,24 +90,24 @@
         elif opening or (segment.size and held.is_new(segment)):
             if held.running_since is None and not wish.upload:
                 self.queue.note_arrival(wish, now)
-            if held.running_since is None and self._must_wait(wish):
-                self._hold(held, segment, wish, opening, now)
+            if held.running_since is None and self._must_queue(wish):
+                self._enqueue(held, segment, wish, opening, now)
                 return
-            self._begin(held, segment, wish, now)
-        self._pass_on(segment)
+            self._start_request(held, segment, wish, now)
+        self._forward(segment)
 
-    def _has_left(
+    def _is_abandoned(
         self, request: HeldRequest, segment: Segment, now: float
     ) -> bool:
         return self.board.uses.leavers and request.is_given_up(segment, now)
 
-    def _must_wait(self, wish: Wish) -> bool:
+    def _must_queue(self, wish: Wish) -> bool:
         board = self.board
         if wish.upload or not board.slots or not board.uses.holding:
             return False
         return len(board.active) >= board.slots
 
-    def _hold(
+    def _enqueue(
         self,
         held: HeldFlow,
         segment: Segment,
@@ -113,15 +115,18 @@
         opening: bool,
         now: float,
     ) -> None:
-        if self.board.age_s(now) > OUTAGE_S or not self.board.uses.doubt:
-            # Only this balancer is new; others saw what came before.
+        if (
+            self.board.age_s(now) > STARTUP_WINDOW_S
+            or not self.board.uses.doubt
+        ):
+            # Only this balancer is new; the others know of earlier attempts.
             wish = structs.replace(wish, may_be_retry=False)
         request = HeldRequest(segment.flow, held, [segment], now, wish, opening)
         self.board.waiting[segment.flow] = request
         self.board.promised.pop(segment.flow, None)
         self.board.records.counters[Count.HELD] += 1
 
-    def _begin(
+    def _start_request(
         self, held: HeldFlow, segment: Segment, wish: Wish, now: float
     ) -> None:
         if not segment.size:
@@ -130,12 +135,12 @@
         if not wish.upload:
             self.board.active.add(segment.flow)
 
-    def _pass_on(self, segment: Segment) -> None:
+    def _forward(self, segment: Segment) -> None:
         datagram = self.codec.with_note(segment, 0)
         self.board.outbox.append(SendBackend(datagram))
 
     def on_answer(self, segment: Segment, held: HeldFlow, now: float) -> None:
-        """Takes account of an answer; the slot goes to the next request."""
+        """Records an answer and gives the slot to the next request."""
         flow = segment.flow
         elapsed = held.note_answer(now)
         if elapsed is None:
@@ -144,13 +149,13 @@
         took_s = now - held.request_at
         good = self.times.note_answer(segment.service_key, took_s)
         if good:
-            self._note_pace(elapsed)
+            self._update_service_time(elapsed)
         outcome = "answered" if good else "too quick"
         board.records.observe(Timing.SERVICE, board.service, outcome, elapsed)
         self._log_failing()
-        self._free(flow, now)
+        self._free_slot(flow, now)
 
-    def _note_pace(self, elapsed: float) -> None:
+    def _update_service_time(self, elapsed: float) -> None:
         board = self.board
         if board.pace_s:
             board.pace_s += PACE_GAIN * (elapsed - board.pace_s)
@@ -158,68 +163,71 @@
             board.pace_s = elapsed
 
     def on_reset(self, held: HeldFlow) -> None:
-        """Takes account of a flow that the server has reset."""
-        # Data that crosses the server's own end of a flow is reset, too.
-        self._note_broken(held, by_reset=held.phase is not Phase.CLOSED)
+        """Records a flow that the server has reset."""
+        # Data that crosses the end of a flow by its server is reset, too.
+        self._note_failed(held, by_reset=held.phase is not Phase.CLOSED)
 
-    def _note_broken(self, held: HeldFlow, by_reset: bool = False) -> None:
-        """Takes account of a request that ended without an answer."""
+    def _note_failed(self, held: HeldFlow, by_reset: bool = False) -> None:
+        """Records the failure of a request that is still unanswered."""
         if held.running_since is not None:
             self.times.note_failure(by_reset)
             self.board.records.counters[Count.REQUESTS_BROKEN] += 1
             self._log_failing()
 
-    def _note_given_up(self, held: HeldFlow, now: float) -> None:
-        """Takes account of a caller that did not wait for its answer."""
+    def _note_abandoned(self, held: HeldFlow, now: float) -> None:
+        """Records a failure if a request was unanswered unusually long."""
         waited_s = now - held.request_at
-        unusual_s = max(GIVEN_UP_S, STUCK_PACES * self.board.pace_s)
-        if held.running_since is not None and waited_s > unusual_s:
-            self._note_broken(held)
+        failed_after_s = max(ABANDONED_MIN_S, STUCK_PACES * self.board.pace_s)
+        if held.running_since is not None and waited_s > failed_after_s:
+            self._note_failed(held)
 
-    def pace_s(self) -> float:
-        """Returns the service time, a guess before the first answer, seconds.
+    def service_time_s(self) -> float:
+        """Returns the service time, assumed before the first answer, seconds.
 
-        With none a request that waited after a loss of power got its slot at
-        the moment when its caller gave up.
+        With 0 instead, a request that was queued after a loss of power got its
+        slot only at the moment when its caller abandoned it.
         """
-        return self.board.pace_s or GUESSED_PACE_S
+        return self.board.pace_s or DEFAULT_SERVICE_TIME_S
 
-    def told_pace_s(self) -> float:
-        """Returns the service time that balancers are told, seconds."""
+    def reported_service_time_s(self) -> float:
+        """Returns the service time that is reported to balancers, seconds.
+
+        It is longer for a failing server, so that it attracts fewer flows.
+        """
         slowdown = self.times.slowdown() if self.board.uses.failing else 1.0
         return self.board.pace_s * slowdown
 
     def _log_failing(self) -> None:
-        news = self.times.news()
-        if news:
+        change = self.times.news()
+        if change:
             share = round(self.times.failing, 3)
             self.board.records.decide(
                 "backend server",
                 b"",
-                news,
+                change,
                 failing=share,
                 pace_s=round(self.board.pace_s, 3),
             )
 
     def forget(self, flow: bytes, now: float) -> None:
-        """Takes account of the end of a flow."""
+        """Removes the request of a flow that has ended and frees its slot."""
         self.board.waiting.pop(flow, None)
         self.board.promised.pop(flow, None)
         held = self.board.flows.get(flow)
         if held is not None:
             held.running_since = None
-        self._free(flow, now)
+        self._free_slot(flow, now)
 
-    def _free(self, flow: bytes, now: float) -> None:
+    def _free_slot(self, flow: bytes, now: float) -> None:
         board = self.board
         board.active.discard(flow)
         while board.waiting and len(board.active) < board.slots:
             request = self.queue.pick(
-                board.waiting.values(), now, self.pace_s(), board.slots
+                board.waiting.values(), now, self.service_time_s(), board.slots
             )
             if request is None:
                 return
-            late = request.is_late(now, self.pace_s())
+            late = request.is_late(now, self.service_time_s())
             self._release(request, now, "late" if late else "on time")
 
     def _release(self, request: HeldRequest, now: float, outcome: str) -> None:
@@ -240,38 +248,38 @@
             slots=board.slots,
         )
         for segment in request.segments:
-            self._begin(request.held, segment, request.wish, now)
-            self._pass_on(segment)
+            self._start_request(request.held, segment, request.wish, now)
+            self._forward(segment)
 
     def tick(self, now: float) -> None:
-        """Gives an answer to what waits in vain."""
+        """Refuses unservable requests; releases expired ones on open flows."""
         if now < self.shed_due:
             return
-        self.shed_due = now + SHED_EVERY_S
+        self.shed_due = now + SHED_INTERVAL_S
         board = self.board
-        pace_s = self.pace_s()
+        service_time_s = self.service_time_s()
         waiting = board.waiting.values()
-        for request in hopeless(waiting, now, pace_s, board.slots):
-            over = now >= request.last_start(pace_s)
-            if request.unopened and (over or board.uses.at_once):
+        for request in hopeless(waiting, now, service_time_s, board.slots):
+            expired = now >= request.last_start(service_time_s)
+            if request.unopened and (expired or board.uses.at_once):
                 board.records.counters[Count.REFUSED_AT_ONCE] += 1
                 self.refuser.refuse(request, now)
-            elif over:
-                # The backend server queues it, or rejects it with an answer.
+            elif expired:
+                # The server queues it, or answers it with an error.
                 board.records.counters[Count.HELD_TOO_LONG] += 1
                 self._release(request, now, "waited too long")
 
     def refuse_unopened(self, reason: str, now: float) -> None:
-        """Refuses all that wait and have not opened; none of them has run."""
+        """Refuses all queued requests of unopened flows; none has run."""
         for request in list(self.board.waiting.values()):
             if request.unopened:
                 self.refuser.refuse(request, now, reason)
 
-    def begin_anew(self, now: float) -> None:
-        """Forgets the load of a backend server that has ended.
+    def on_backend_restart(self, now: float) -> None:
+        """Clears the load of the previous incarnation of the backend server.
 
-        What waited goes on to the one that has started: it holds none of the
-        flows, and says so.
+        Queued requests of open flows are forwarded to the new incarnation,
+        which has none of the flows and returns or resets them.
         """
         board = self.board
         board.active.clear()
@@ -286,17 +294,17 @@
         board.active.clear()
 
     def sweep(self, now: float) -> None:
-        """Frees slots of requests whose answer never came."""
+        """Frees the slots of requests whose answer has timed out."""
         for flow in list(self.board.active):
             held = self.board.flows.get(flow)
             since = held.running_since if held is not None else None
-            if since is None or now - since > self.stuck_s():
+            if since is None or now - since > self.answer_timeout_s():
                 if held is not None:
-                    self._note_given_up(held, now)
-                self._free(flow, now)
+                    self._note_abandoned(held, now)
+                self._free_slot(flow, now)
 
-    def stuck_s(self) -> float:
-        """Returns how long an answer may take, seconds."""
+    def answer_timeout_s(self) -> float:
+        """Returns how long a request may hold its slot, seconds."""
         return max(STUCK_S, STUCK_PACES * self.board.pace_s)
 
     def due(self) -> float:
--- a/notchhoist/flows/agent/resting.py
+++ b/notchhoist/flows/agent/resting.py
@@ -1,10 +1,10 @@
-"""An agent's controller for flows that rest when the backend server ends.
+"""An agent's controller for flows that are idle when the backend server exits.
 
-A caller keeps a flow open between its requests. Where the server has ended, a
-reset that comes with the next request costs that request, and one that must
-not run twice is lost. So the server is asked about each flow that rests: it
-gets a copy of the caller's newest data, which it passes over where it holds the
-flow, gives back where it does not, and resets where it has ended it.
+A caller keeps a flow open between its requests. If the server has exited, a
+reset in reply to the next request costs that request, and one that must not run
+twice is lost. So the agent probes each idle flow: it sends the caller's newest
+data to the server again. The server ignores the data if it has the flow,
+returns the packet if it does not, and resets a flow that it has ended.
 """
 
 import collections
@@ -18,80 +18,85 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
-SILENCE_S = 1.0
-"""A server with open flows that was not heard for so long is looked at, and
-again after each such time, seconds."""
+SILENCE_CHECK_S = 1.0
+"""A server with open flows is checked after this much silence, and again after
+each such time, seconds."""
 
-END_LOOK_S = 0.2
-"""The same while the agent waits for its server's end, seconds."""
+EXIT_CHECK_INTERVAL_S = 0.2
+"""Time between two checks while the agent waits for its server to exit,
+seconds."""
 
-SURVEY_PAUSE_S = 0.3
-"""Least time between two surveys of all flows, seconds; twice as long after
-each that has found none ended."""
+SURVEY_INTERVAL_MIN_S = 0.3
+"""Least time between two surveys of all idle flows, seconds. It doubles after
+each survey that has found no ended flow."""
 
-SURVEY_PAUSE_MOST_S = 4.8
-"""The longest such time, seconds: servers reset single flows that fail."""
+SURVEY_INTERVAL_MAX_S = 4.8
+"""Upper limit of that back-off, seconds. Servers also reset single flows that
+fail, and such resets request surveys, too."""
 
-BATCH = 100
-"""Flows that the server is asked about at once; its socket holds more."""
+BATCH_SIZE = 100
+"""Flows that are probed at once; the socket buffer of the server holds more."""
 
-BATCH_PAUSE_S = 0.01
+BATCH_INTERVAL_S = 0.01
 """Time between two batches, seconds."""
 
 
-class RestingFlows(Struct, eq=False):
-    """Resets flows whose server has ended while they rest.
+class IdleFlowSurvey(Struct, eq=False):
+    """Probes idle flows and resets those that the server no longer has.
 
     Attributes:
-        board: What the agent knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
-        watch: Looks whether the server listens.
-        unasked: Flows that the server has yet to be asked about.
-        reason: What the survey under way was begun for.
+        watch: Checks the liveness of the server.
+        unprobed: Flows that the current survey has not probed yet.
+        reason: Why the current survey was begun.
         surveyed_at: When the last survey began, seconds.
-        wanted: Why another survey is to begin, or empty.
-        batch_due: When the next batch goes out, seconds.
-        pause_s: Time until the next survey may begin, seconds.
-        looked_at: When a silent server was last looked at, seconds.
+        next_reason: Why the next survey is requested, or empty if it is not.
+        batch_due: When the next batch is sent, seconds.
+        interval_s: Least time from the last survey to the next, seconds.
+        checked_at: When a silent server was last checked, seconds.
         heard_at: When the server last sent anything, seconds.
     """
 
     board: AgentBoard
     codec: SegmentCodec
     watch: BackendWatch
-    unasked: collections.deque[bytes] = field(default_factory=collections.deque)
+    unprobed: collections.deque[bytes] = field(
+        default_factory=collections.deque
+    )
     reason: str = ""
     surveyed_at: float = float("-inf")
-    wanted: str = ""
+    next_reason: str = ""
     batch_due: float = float("inf")
-    pause_s: float = SURVEY_PAUSE_S
-    looked_at: float = float("-inf")
+    interval_s: float = SURVEY_INTERVAL_MIN_S
+    checked_at: float = float("-inf")
     heard_at: float = float("-inf")
 
     def survey(self, reason: str) -> None:
-        """Has the server asked about all flows that rest.
+        """Requests a survey of all idle flows.
 
         Args:
-            reason: Why it may have ended, for the log.
+            reason: Why the server may have exited, for the log.
         """
-        if self.board.uses.resting and not self.wanted:
-            self.wanted = reason
+        if self.board.uses.resting and not self.next_reason:
+            self.next_reason = reason
 
     def on_heard(self, now: float) -> None:
-        """Takes account of a packet of the server."""
+        """Records that the server has sent a packet."""
         self.heard_at = now
 
-    def take_returned(
+    def reset_returned(
         self, held: HeldFlow, segment: Segment, now: float
     ) -> bool:
-        """Resets a flow that its server has given up; tells whether it did.
+        """Resets a flow that its server no longer has; tells whether it did.
 
-        The server has shown that the flow was open there, so it is nowhere
-        else. A packet that opens a flow is given back for other reasons too.
+        Only a flow that the server has shown to be open is reset, since it is
+        at no other server. An opening packet is returned for other reasons,
+        too, and resets nothing.
 
         Args:
-            held: The flow, which is no longer among those held here.
-            segment: The packet that the server gave back.
+            held: The flow, which was already removed from the shared state.
+            segment: The packet that the server returned.
             now: Runtime clock, seconds.
         """
         if not self.board.uses.resting or segment.opens:
@@ -105,83 +110,81 @@
         return True
 
     def on_reset(self, held: HeldFlow, flow: bytes, now: float) -> None:
-        """Takes account of a flow that its server has reset itself."""
+        """Records a flow that the server itself has reset."""
         if self.board.uses.resting and held.was_open_here:
             self._note_end(held, flow, "by its server", now)
 
     def _note_end(
         self, held: HeldFlow, flow: bytes, reason: str, now: float
     ) -> None:
-        """Takes account of the end of one flow; others may have ended too."""
-        rested = held.rests_asked
+        """Records the end of a flow and requests a survey of the others."""
+        idle = held.rests_asked
         records = self.board.records
-        if rested:
-            self.pause_s = SURVEY_PAUSE_S
+        if idle:
+            self.interval_s = SURVEY_INTERVAL_MIN_S
             records.counters[Count.RESET_AT_REST] += 1
         records.decide(
             "reset",
             flow,
             reason,
-            at_rest=rested,
-            asked_for=self.reason if rested else "",
+            at_rest=idle,
+            asked_for=self.reason if idle else "",
             shown_s=round(now - held.shown_at, 3),
             used_s=round(now - held.last_at, 3),
         )
         self.survey("a flow ended")
 
     def tick(self, now: float) -> None:
-        """Looks at a silent server and goes on with a survey."""
+        """Checks a silent server and continues a survey, as far as is due."""
         if not self.board.uses.resting:
             return
-        self._look(now)
+        self._check_silent(now)
         if now >= self._survey_due():
-            self._begin(now)
+            self._begin_survey(now)
         if now >= self.batch_due:
-            self._ask_batch(now)
+            self._probe_batch(now)
 
-    def _look(self, now: float) -> None:
-        """Looks whether a server lives that was not heard for a while."""
-        if now < self._look_due():
+    def _check_silent(self, now: float) -> None:
+        """Checks the liveness of a server that has been silent."""
+        if now < self._check_due():
             return
-        self.looked_at = now
-        newest = self._newest()
-        if newest is None:
+        self.checked_at = now
+        flow = self._last_shown()
+        if flow is None:
             return
-        self.watch.check_soon(now)
-        self._ask(newest, now)
+        self.watch.schedule_check(now)
+        self._probe(flow, now)
 
-    def _newest(self) -> bytes | None:
-        """Returns the open flow that the server showed last, if any."""
-        resting = self.board.resting()
-        if not resting:
+    def _last_shown(self) -> bytes | None:
+        """Returns the idle flow that the server has shown open last, if any."""
+        idle = self.board.resting()
+        if not idle:
             return None
-        return max(resting, key=lambda item: item[1].shown_at)[0]
+        return max(idle, key=lambda item: item[1].shown_at)[0]
 
-    def _begin(self, now: float) -> None:
-        self.reason, self.wanted = self.wanted, ""
+    def _begin_survey(self, now: float) -> None:
+        self.reason, self.next_reason = self.next_reason, ""
         self.surveyed_at = now
-        # It is shortened again as soon as this one finds an end.
-        self.pause_s = min(2 * self.pause_s, SURVEY_PAUSE_MOST_S)
-        self.watch.check_soon(now)
-        resting = [flow for flow, _ in self.board.resting()]
-        self.unasked.clear()
-        self.unasked.extend(resting)
-        if not resting:
+        # ``_note_end`` shortens it again if this survey finds an ended flow.
+        self.interval_s = min(2 * self.interval_s, SURVEY_INTERVAL_MAX_S)
+        self.watch.schedule_check(now)
+        idle = [flow for flow, _ in self.board.resting()]
+        self.unprobed.clear()
+        self.unprobed.extend(idle)
+        if not idle:
             return
         self.batch_due = now
         self.board.records.counters[Count.SURVEYS] += 1
-        self.board.records.decide(
-            "survey", b"", self.reason, flows=len(resting)
-        )
+        self.board.records.decide("survey", b"", self.reason, flows=len(idle))
 
-    def _ask_batch(self, now: float) -> None:
-        for _ in range(min(BATCH, len(self.unasked))):
-            self._ask(self.unasked.popleft(), now)
-        more = bool(self.unasked)
-        self.batch_due = now + BATCH_PAUSE_S if more else float("inf")
+    def _probe_batch(self, now: float) -> None:
+        for _ in range(min(BATCH_SIZE, len(self.unprobed))):
+            self._probe(self.unprobed.popleft(), now)
+        more = bool(self.unprobed)
+        self.batch_due = now + BATCH_INTERVAL_S if more else float("inf")
 
-    def _ask(self, flow: bytes, now: float) -> None:
-        """Asks the server about a flow, unless that has changed meanwhile."""
+    def _probe(self, flow: bytes, now: float) -> None:
+        """Probes a flow unless it is no longer idle."""
         held = self.board.flows.get(flow)
         if held is None or not self.board.rests(flow, held):
             return
@@ -193,22 +196,22 @@
         self.board.outbox.append(SendBackend(datagram))
 
     def _survey_due(self) -> float:
-        if not self.wanted:
+        if not self.next_reason:
             return float("inf")
-        return self.surveyed_at + self.pause_s
+        return self.surveyed_at + self.interval_s
 
-    def _look_due(self) -> float:
+    def _check_due(self) -> float:
         if not self.board.flows or self.board.backend_gone:
             return float("inf")
-        if self.awaits_end():
-            return self.looked_at + END_LOOK_S
-        return max(self.heard_at, self.looked_at) + SILENCE_S
+        if self.awaits_backend_exit():
+            return self.checked_at + EXIT_CHECK_INTERVAL_S
+        return max(self.heard_at, self.checked_at) + SILENCE_CHECK_S
 
-    def awaits_end(self) -> bool:
-        """Tells whether flows rest at a server that leaves along with us."""
+    def awaits_backend_exit(self) -> bool:
+        """Tells whether a stop waits for idle flows of a draining server."""
         board = self.board
-        leaves = board.stopping and board.is_leaving
-        if not leaves or board.backend_gone or not board.uses.resting:
+        exits_together = board.stopping and board.is_leaving
+        if not exits_together or board.backend_gone or not board.uses.resting:
             return False
         return bool(board.resting())
 
@@ -216,4 +219,4 @@
         """Returns when ``tick`` is next needed, seconds."""
         if not self.board.uses.resting:
             return float("inf")
-        return min(self._look_due(), self._survey_due(), self.batch_due)
+        return min(self._check_due(), self._survey_due(), self.batch_due)
--- a/notchhoist/flows/agent/telling.py
+++ b/notchhoist/flows/agent/telling.py
@@ -1,4 +1,4 @@
-"""An agent's controller that tells which flows are at its backend server."""
+"""An agent's controller that answers searches for flows."""
 
 from msgspec import Struct, field
 
@@ -12,70 +12,70 @@
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
 UNSURE_S = 60.0
-"""How long after its start an agent may meet flows that it has not seen begin;
-the platform promises nothing to flows that are older."""
+"""How long after its start an agent may meet flows that opened before it,
+seconds; the platform guarantees nothing for flows that are older."""
 
-GATHER_S = 0.005
-"""Outcomes of samples are told together after this time, seconds; the backend
-server returns a packet in less than one."""
+OUTCOME_DELAY_S = 0.005
+"""Outcomes of sample packets are collected for this time and reported together,
+seconds; the backend server returns a packet in less than that."""
 
-_MINE = (Phase.OPEN, Phase.CLOSED, Phase.TRIED, Phase.REFUSED)
+_LOCAL_PHASES = (Phase.OPEN, Phase.CLOSED, Phase.TRIED, Phase.REFUSED)
 
 
-class FlowTeller(Struct, eq=False):
-    """Answers balancers that look for flows.
+class FlowLookup(Struct, eq=False):
+    """Answers balancers that search for flows.
 
     Attributes:
-        board: What the agent knows.
+        board: Shared state of the agent.
         codec: Codec of the packets.
-        absent: Flows that samples have shown not to be here, by balancer.
-        tell_due: When these are told, seconds.
+        absent: Flows that sample packets have shown to be absent, by balancer.
+        outcomes_due: When these are reported, seconds.
     """
 
     board: AgentBoard
     codec: SegmentCodec
     absent: dict[str, list[bytes]] = field(default_factory=dict)
-    tell_due: float = float("inf")
+    outcomes_due: float = float("inf")
 
     def is_here(self, held: HeldFlow, segment: Segment) -> bool:
-        """Tells whether a flow is at the server, by a packet of its caller."""
+        """Tells whether a flow is here, judged by a packet of its caller."""
         if held.phase is Phase.ACCEPTED:
             return held.chosen_by(segment)
-        return held.phase in _MINE
+        return held.phase in _LOCAL_PHASES
 
-    def knows_all(self, now: float) -> bool:
-        """Tells whether a flow that is not known cannot be here."""
+    def knows_all_flows(self, now: float) -> bool:
+        """Tells whether every flow of the backend server is known."""
         board = self.board
         old = now - board.started_at >= UNSURE_S
         return board.sees_all or board.backend_gone or old
 
-    def kind_of(self, segment: Segment, tag: int, now: float) -> NoteKind:
-        """Returns what to tell about the flow of a packet."""
+    def presence_of(self, segment: Segment, tag: int, now: float) -> NoteKind:
+        """Returns whether a flow is present, absent or unsure."""
         held = self.board.flows.get(segment.flow)
-        tried = held is not None and held.phase is Phase.TRIED
-        if held is not None and not tried and self.is_here(held, segment):
+        unconfirmed = held is not None and held.phase is Phase.TRIED
+        if held is not None and not unconfirmed and self.is_here(held, segment):
             return NoteKind.PRESENT
-        if tag != self.board.tag or self.knows_all(now):
+        if tag != self.board.tag or self.knows_all_flows(now):
             return NoteKind.ABSENT
         return NoteKind.UNSURE
 
-    def on_ask(
-        self, host: str, question: FlowsAsk, load: Load, now: float
+    def on_query(
+        self, host: str, query: FlowsAsk, load: Load, now: float
     ) -> None:
-        """Answers a balancer's question about heads of packets."""
-        told: dict[NoteKind, list[bytes]] = {}
-        for segment in self.decode(question.heads):
-            kind = self.kind_of(segment, question.tag, now)
-            told.setdefault(kind, []).append(segment.flow)
+        """Answers a balancer's query about the flows of packet headers."""
+        flows_by_kind: dict[NoteKind, list[bytes]] = {}
+        for segment in self.decode(query.heads):
+            kind = self.presence_of(segment, query.tag, now)
+            flows_by_kind.setdefault(kind, []).append(segment.flow)
         answer = FlowsTell(
-            number=question.number,
-            present=tuple(told.get(NoteKind.PRESENT, ())),
-            absent=tuple(told.get(NoteKind.ABSENT, ())),
-            unsure=tuple(told.get(NoteKind.UNSURE, ())),
+            number=query.number,
+            present=tuple(flows_by_kind.get(NoteKind.PRESENT, ())),
+            absent=tuple(flows_by_kind.get(NoteKind.ABSENT, ())),
+            unsure=tuple(flows_by_kind.get(NoteKind.UNSURE, ())),
             flows=load.flows,
             running=load.running,
             pace_ms=load.pace_ms,
-            age_ms=self._age_ms(now) if NoteKind.UNSURE in told else 0,
+            age_ms=self._age_ms(now) if NoteKind.UNSURE in flows_by_kind else 0,
         )
         self.board.outbox.append(SendPeer(host, answer))
 
@@ -83,7 +83,7 @@
         return max(1, int(self.board.age_s(now) * 1000))
 
     def decode(self, packets: tuple[bytes, ...]) -> list[Segment]:
-        """Returns the packets of a question; bad ones are only counted."""
+        """Decodes the packets of a query; counts and skips malformed ones."""
         segments = []
         for raw in packets:
             try:
@@ -94,15 +94,15 @@
         return segments
 
     def note_absent(self, host: str, flow: bytes, now: float) -> None:
-        """Takes account of a sample that the backend server returned."""
+        """Records that the flow of a sample packet is absent."""
         self.absent.setdefault(host, []).append(flow)
-        self.tell_due = min(self.tell_due, now + GATHER_S)
+        self.outcomes_due = min(self.outcomes_due, now + OUTCOME_DELAY_S)
 
     def tick(self, load: Load, now: float) -> None:
-        """Tells balancers what came of their samples."""
-        if now < self.tell_due:
+        """Reports the outcomes of sample packets to the balancers."""
+        if now < self.outcomes_due:
             return
-        self.tell_due = float("inf")
+        self.outcomes_due = float("inf")
         for host, flows in self.absent.items():
             answer = FlowsTell(
                 number=0,
--- a/notchhoist/flows/agent/tests/test_offering.py
+++ b/notchhoist/flows/agent/tests/test_flow_offers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from notchhoist.flows.agent.bearing import UNTOLD_S, Limits
+from notchhoist.flows.agent.bearing import DEFER_MAX_S, Limits
 from notchhoist.flows.agent.node import make_agent
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBalancer, SendPeer
@@ -135,7 +135,7 @@
     node = agent()
     for port in range(10):
         open_flow(node, port + 1, kind=NoteKind.PLACE_BOUNDED)
-    effects = node.tick(START + UNTOLD_S)
+    effects = node.tick(START + DEFER_MAX_S)
     assert len(to_backend(effects)) == 4
     assert to_balancer(effects) == [NoteKind.FULL] * 6
 
--- a/notchhoist/flows/agent/tests/test_leaving.py
+++ b/notchhoist/flows/agent/tests/test_leaving.py
@@ -1,8 +1,8 @@
 """A backend server that leaves: its agent stops balancers that do not know."""
 
-from notchhoist.flows.agent.bearing import LATE_SHARE, Limits
+from notchhoist.flows.agent.bearing import CUTOFF_SHARE, Limits
 from notchhoist.flows.agent.node import make_agent
-from notchhoist.flows.agent.tests.test_offering import (
+from notchhoist.flows.agent.tests.test_flow_offers import (
     open_flow,
     pause_of,
     told,
@@ -20,7 +20,7 @@
 from notchhoist.flows.tests.crafting import CODEC, request
 
 DRAIN_S = 3.0
-LATE = START + LATE_SHARE * DRAIN_S
+LATE = START + CUTOFF_SHARE * DRAIN_S
 
 
 def agent():
--- a/notchhoist/flows/agent/tests/test_resting.py
+++ b/notchhoist/flows/agent/tests/test_resting.py
@@ -5,8 +5,11 @@
 
 import pytest
 
-from notchhoist.flows.agent.backend_watch import LEAVING_S
-from notchhoist.flows.agent.resting import SILENCE_S, SURVEY_PAUSE_S
+from notchhoist.flows.agent.backend_watch import UNANNOUNCED_DRAIN_S
+from notchhoist.flows.agent.resting import (
+    SILENCE_CHECK_S,
+    SURVEY_INTERVAL_MIN_S,
+)
 from notchhoist.flows.model.effects import CheckBackend, SendCaller
 from notchhoist.flows.model.messages import LoadAsk, ServerState
 from notchhoist.flows.model.notes import NoteKind
@@ -116,23 +119,23 @@
     ask(node, 1, LATER, seq=10)
     ask(node, 2, LATER, seq=10)
     assert len(node.board.waiting) == 1
-    node.resting.survey("test")
+    node.idle_survey.survey("test")
     assert ports_of(to_backend(node.tick(LATER))) == [1]
 
 
 def test_a_silent_server_is_looked_at_while_flows_rest():
     node = resting([1])
-    assert not looks(node.tick(START + SILENCE_S - 0.01))
-    effects = node.tick(START + SILENCE_S)
+    assert not looks(node.tick(START + SILENCE_CHECK_S - 0.01))
+    effects = node.tick(START + SILENCE_CHECK_S)
     assert len(looks(effects)) == 1
     assert ports_of(to_backend(effects)) == [1]
-    assert resets(node.on_checked(False, START + SILENCE_S)) == [1]
+    assert resets(node.on_checked(False, START + SILENCE_CHECK_S)) == [1]
 
 
 def test_a_server_that_is_heard_or_holds_nothing_is_left_alone():
     node = resting([1])
     reply(node, 1, START + 0.9)
-    assert not looks(node.tick(START + SILENCE_S + 0.5))
+    assert not looks(node.tick(START + SILENCE_CHECK_S + 0.5))
     assert not looks(agent().tick(START + 10.0))
 
 
@@ -140,7 +143,7 @@
     """Servers that fail reset single flows all the time."""
     node = resting([1, 2])
     for step in range(100):
-        node.resting.survey("test")
+        node.idle_survey.survey("test")
         node.tick(LATER + step / 10)
     assert node.board.records.counters["surveys"] == 5
 
@@ -149,11 +152,11 @@
     """The pause followed the survey before, which had found nothing."""
     node = resting([1, 2])
     for at in (0.0, 0.7, 2.0):
-        node.resting.survey("test")
+        node.idle_survey.survey("test")
         node.tick(LATER + at)
     assert node.board.records.counters["surveys"] == 3
     node.on_backend(bounced(sample_of(node, 2)), LATER + 2.01)
-    node.tick(LATER + 2.0 + SURVEY_PAUSE_S + 0.01)
+    node.tick(LATER + 2.0 + SURVEY_INTERVAL_MIN_S + 0.01)
     assert node.board.records.counters["surveys"] == 4
 
 
@@ -188,7 +191,7 @@
     node = resting([1])
     assert not resets(node.on_checked(False, LATER, ended=False))
     assert not resets(node.on_checked(False, LATER + 3.9, ended=False))
-    effects = node.on_checked(False, LATER + LEAVING_S, ended=False)
+    effects = node.on_checked(False, LATER + UNANNOUNCED_DRAIN_S, ended=False)
     assert resets(effects) == [1]
 
 
@@ -196,12 +199,14 @@
     """It lost its flows at its first refusal, though it took packets."""
     node = resting([1])
     assert not resets(node.on_checked(False, LATER, ended=False))
-    later = LATER + 2 * LEAVING_S
+    later = LATER + 2 * UNANNOUNCED_DRAIN_S
     accept(node, 2, later)
     ask(node, 2, later)
     reply(node, 2, later)
     assert not resets(node.on_checked(False, later + 0.1, ended=False))
-    effects = node.on_checked(False, later + 0.1 + LEAVING_S, ended=False)
+    effects = node.on_checked(
+        False, later + 0.1 + UNANNOUNCED_DRAIN_S, ended=False
+    )
     assert sorted(resets(effects)) == [1, 2]
 
 
@@ -210,7 +215,7 @@
     node = agent()
     accept(node, 1)
     ask(node, 1)
-    node.watch.check_soon(LATER)
+    node.watch.schedule_check(LATER)
     [look] = looks(node.tick(LATER))
     sample = CODEC.decode_request(look.sample)
     assert not sample.opens
@@ -224,7 +229,7 @@
         accept(node, port)
         ask(node, port)
     [waiting] = node.board.waiting
-    node.watch.check_soon(LATER)
+    node.watch.schedule_check(LATER)
     [look] = looks(node.tick(LATER))
     assert CODEC.decode_request(look.sample).flow != waiting
 
--- a/notchhoist/flows/agent/vacancies.py
+++ b/notchhoist/flows/agent/vacancies.py
@@ -1,62 +1,66 @@
-"""An agent's count of the slots that are free for new flows."""
+"""Tracks which slots of a backend server are free for new flows."""
 
 from msgspec import Struct
 
-from notchhoist.flows.agent.admitting import RequestGate
+from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model.held import EXPECTED_S
 
-FAILING_PAUSE_S = 1.0
-"""Time between two new flows for a server that fails, seconds: enough to notice
-that it is well again."""
+FAILING_PROBE_INTERVAL_S = 1.0
+"""Time between two new flows for a failing server, seconds; they show whether
+it has recovered."""
 
 
-class SlotVacancies(Struct, eq=False):
-    """Tells whether a new flow would get a slot without waiting.
+class FreeSlots(Struct, eq=False):
+    """Tells whether a new flow would get a slot without queueing.
 
-    A slot is promised with the acceptance of a flow: its request comes a round
-    trip later, and two balancers that offer a flow meanwhile would otherwise
-    both find the slot free.
+    A slot is reserved when a flow is offered. Its first request comes a round
+    trip after the acceptance, and two balancers that offer a flow in the
+    meantime would otherwise both find the slot free.
 
-    A server that fails its requests is free nearly always, since failures take
-    little time, and would draw the flows of all. It counts as busy.
+    A server that fails its requests has free slots nearly always, since
+    failures take little time, and would attract all new flows. It counts as
+    busy.
 
     Attributes:
-        board: What the agent knows.
-        gate: Knows whether the server fails.
-        tried_at: When a failing server last got a flow, seconds.
+        board: Shared state of the agent.
+        request_gate: Knows whether the server is failing.
+        failing_probed_at: When a failing server last got a flow, seconds.
     """
 
     board: AgentBoard
-    gate: RequestGate
-    tried_at: float = float("-inf")
+    request_gate: RequestGate
+    failing_probed_at: float = float("-inf")
 
-    def promise(self, flow: bytes, now: float) -> None:
-        """Keeps a slot for the first request of a flow."""
+    def reserve(self, flow: bytes, now: float) -> None:
+        """Reserves a slot for the first request of a flow."""
         self.board.promised[flow] = now + EXPECTED_S
 
     def has_free(self, now: float) -> bool:
-        """Tells whether a slot is free that nobody waits for.
+        """Tells whether a slot is neither taken, reserved nor waited for.
 
-        Where the number of slots is not known nobody waits here either.
+        While the number of slots is unknown requests are not queued, so a slot
+        counts as free.
         """
         board = self.board
-        if self.gate.times.is_failing and not self._tries_failing(now):
+        if self.request_gate.times.is_failing and not self._may_probe_failing(
+            now
+        ):
             return False
         if not board.slots:
             return True
-        promised = board.promised
-        # Promises are made in the order of their ends.
-        for flow in list(promised):
-            if now < promised[flow]:
+        reservations = board.promised
+        # Reservations are in the order of their expiry.
+        for flow in list(reservations):
+            if now < reservations[flow]:
                 break
-            del promised[flow]
-        taken = len(board.active) + len(board.waiting) + len(promised)
+            del reservations[flow]
+        taken = len(board.active) + len(board.waiting) + len(reservations)
         return taken < board.slots
 
-    def _tries_failing(self, now: float) -> bool:
-        """Tells whether it is time to see if a failing server is well again."""
-        if now - self.tried_at < FAILING_PAUSE_S:
+    def _may_probe_failing(self, now: float) -> bool:
+        """Tells whether a new flow may now probe a failing server."""
+        if now - self.failing_probed_at < FAILING_PROBE_INTERVAL_S:
             return False
-        self.tried_at = now
+        self.failing_probed_at = now
         return True
