--- a/notchhoist/flows/agent/resting.py
+++ b/notchhoist/flows/agent/resting.py
@@ -118,17 +118,17 @@
         self, held: HeldFlow, flow: bytes, reason: str, now: float
     ) -> None:
         """Records the end of a flow and requests a survey of the others."""
-        idle = held.rests_asked
+        was_idle = held.rests_asked
         records = self.board.records
-        if idle:
+        if was_idle:
             self.interval_s = SURVEY_INTERVAL_MIN_S
             records.counters[Count.RESET_AT_REST] += 1
         records.decide(
             "reset",
             flow,
             reason,
-            at_rest=idle,
-            asked_for=self.reason if idle else "",
+            at_rest=was_idle,
+            asked_for=self.reason if was_idle else "",
             shown_s=round(now - held.shown_at, 3),
             used_s=round(now - held.last_at, 3),
         )
@@ -149,11 +149,11 @@
         if now < self._check_due():
             return
         self.checked_at = now
-        flow = self._last_shown()
-        if flow is None:
+        last_shown = self._last_shown()
+        if last_shown is None:
             return
         self.watch.schedule_check(now)
-        self._probe(flow, now)
+        self._probe(last_shown, now)
 
     def _last_shown(self) -> bytes | None:
         """Returns the idle flow that the server has shown open last, if any."""
--- a/notchhoist/flows/agent/tests/test_agent.py
+++ b/notchhoist/flows/agent/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""An agent: offering, giving back, and what it tells."""
+"""Tests of an agent: offers, returned packets and reports to balancers."""
 
 import pytest
 
@@ -35,14 +35,14 @@
 )
 
 
-def test_a_new_flow_is_offered_and_its_acceptance_told():
+def test_new_flow_is_offered_and_its_acceptance_reported():
     node = agent()
     effects = accept(node, 1)
     assert to_balancer(effects) == [NoteKind.TAKEN]
     assert [type(item) for item in effects].count(SendCaller) == 1
 
 
-def test_a_packet_for_another_service_never_reaches_the_server():
+def test_packet_for_another_service_never_reaches_the_server():
     node = agent()
     other = service_tag("scoredrop")
     for segment in (request(flags=SYN), request(data=b"x")):
@@ -51,7 +51,7 @@
     assert node.board.records.counters["wrong_service"] == 2
 
 
-def test_a_silent_server_gets_the_flow_taken_away():
+def test_flow_is_returned_if_the_server_does_not_answer():
     node = agent()
     send(node, request(flags=SYN), NoteKind.PLACE)
     effects = node.tick(START + 0.03)
@@ -59,12 +59,12 @@
     assert any(isinstance(item, CheckBackend) for item in effects)
 
 
-def looks(effects):
+def has_check(effects):
     return any(isinstance(item, CheckBackend) for item in effects)
 
 
-def begin_request(node):
-    """Opens a flow whose second packet overtakes the first of its request."""
+def open_with_reordered_request(node):
+    """Opens a flow whose second request packet overtakes the first."""
     accept(node, 1)
     first = request(seq=1, data=b"x" * 1200, port=1, ack=SERVER_SEQ + 1)
     second = request(seq=1201, data=b"y" * 300, port=1, ack=SERVER_SEQ + 1)
@@ -72,30 +72,34 @@
     return first
 
 
-def test_a_packet_that_was_overtaken_is_no_copy():
-    """The agent tried to connect to its server, one in seven requests."""
+def test_reordered_packet_is_no_retransmission():
+    """Guards against a liveness check for every reordered request.
+
+    The agent took a reordered packet for a retransmission, and connected to
+    its server once in seven requests.
+    """
     node = agent()
-    first = begin_request(node)
+    first = open_with_reordered_request(node)
     effects = send(node, first, NoteKind.HELD, START + 0.011)
     assert to_backend(effects)
-    assert not looks(node.tick(START + 0.02))
+    assert not has_check(node.tick(START + 0.02))
 
 
-def test_a_copy_shows_that_the_server_may_have_ended():
+def test_retransmission_triggers_a_liveness_check():
     node = agent()
-    first = begin_request(node)
+    first = open_with_reordered_request(node)
     send(node, first, NoteKind.HELD, START + 0.011)
     send(node, first, NoteKind.HELD, START + 0.211)
-    assert looks(node.tick(START + 0.22))
+    assert has_check(node.tick(START + 0.22))
 
 
-def test_an_unknown_flow_is_given_back_by_an_agent_that_knows_all():
+def test_unknown_flow_is_returned_by_an_agent_that_knows_all_flows():
     effects = send(agent(), request(data=b"x"), NoteKind.HELD)
     assert to_balancer(effects) == [NoteKind.RETURNED]
     assert not to_backend(effects)
 
 
-def test_a_restarted_agent_lets_the_server_judge():
+def test_restarted_agent_forwards_packets_of_unknown_flows():
     node = agent(known=False)
     data = request(data=b"x")
     assert to_backend(send(node, data, NoteKind.HELD))
@@ -103,8 +107,11 @@
     assert to_balancer(effects) == [NoteKind.RETURNED]
 
 
-def test_a_flow_that_was_only_tried_is_not_said_to_be_here():
-    """Its server was gone, and the next balancer took the word for it."""
+def test_unconfirmed_flow_is_not_reported_as_present():
+    """Guards against a false report of a flow whose server was down.
+
+    The next balancer that searched for the flow trusted the report.
+    """
     node = agent(known=False)
     lost = request(data=b"x", ack=77)
     send(node, lost, NoteKind.TRY)
@@ -114,7 +121,7 @@
     assert to_balancer(send(node, lost, NoteKind.ASK)) == [NoteKind.PRESENT]
 
 
-def test_a_returned_packet_is_good_for_another_server():
+def test_returned_packet_is_unchanged_for_another_server():
     node = agent(known=False)
     data = request(data=b"x")
     send(node, data, NoteKind.HELD)
@@ -126,15 +133,15 @@
     assert effect.datagram[4:] == data.raw[4:]
 
 
-def test_a_flow_that_the_caller_opened_elsewhere_is_given_back():
+def test_flow_that_the_caller_opened_elsewhere_is_returned():
     node = agent()
     accept(node, 1)
-    stranger = request(data=b"x", ack=SERVER_SEQ + (1 << 30), port=1)
-    effects = send(node, stranger, NoteKind.HELD)
+    elsewhere = request(data=b"x", ack=SERVER_SEQ + (1 << 30), port=1)
+    effects = send(node, elsewhere, NoteKind.HELD)
     assert to_balancer(effects) == [NoteKind.RETURNED]
 
 
-def test_answers_to_a_question_for_a_flow():
+def test_answers_to_a_search_for_a_flow():
     node = agent()
     accept(node, 1)
     ask(node, 1)
@@ -146,7 +153,7 @@
     assert to_balancer(effects) == [NoteKind.UNSURE]
 
 
-def test_a_gone_server_ends_its_flows_at_once():
+def test_exited_server_has_its_flows_reset_at_once():
     node = agent()
     accept(node, 1)
     ask(node, 1)
@@ -156,7 +163,7 @@
     assert to_balancer(refused) == [NoteKind.REFUSED]
 
 
-def test_a_closing_flow_is_still_handed_over():
+def test_packets_of_a_closing_flow_are_still_forwarded():
     node = agent()
     accept(node, 1)
     ask(node, 1)
@@ -165,7 +172,7 @@
     assert to_backend(send(node, last, NoteKind.HELD))
 
 
-def test_the_load_that_is_told():
+def test_load_counts_open_flows_and_unanswered_requests():
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -175,8 +182,11 @@
     assert (load.flows, load.running) == (2, 2)
 
 
-def test_an_answer_whose_end_overtakes_its_data_is_timed():
-    """The end of a booking's answer comes first, so no booking was timed."""
+def test_answer_whose_end_overtakes_its_data_is_timed():
+    """Guards against answers whose service time is never measured.
+
+    The closing packet of a booking's answer arrives before its data.
+    """
     node = agent(slots=3)
     accept(node, 1)
     ask(node, 1)
@@ -197,44 +207,59 @@
     assert node.load(START + 0.3).running == 0
 
 
-def test_a_stop_is_told_to_balancers_whose_flows_are_idle():
-    """They took the silence of the restart for a loss and reset idle flows."""
+def test_stop_is_reported_to_balancers_whose_flows_are_idle():
+    """Guards against a planned restart that balancers take for a failure.
+
+    They took the silence for the loss of the agent and reset its idle flows.
+    """
     node = agent()
     accept(node, 1)
     effects = node.stop(START + 30.0)
-    [told] = [item.message for item in effects if isinstance(item, SendPeer)]
-    assert told.stopping
+    [load_report] = [
+        item.message for item in effects if isinstance(item, SendPeer)
+    ]
+    assert load_report.stopping
+
 
+def test_agent_that_started_with_the_whole_system_reports_absent():
+    """Guards against agents that are unsure for a minute after a full start.
 
-def test_an_agent_that_started_with_the_whole_system_is_sure():
-    """Agents were unsure for a minute, and each dead flow was tried at all."""
+    Each flow that no longer existed was then searched for by sample packets to
+    all agents.
+    """
     node = make_agent(crafting.SERVICE, CODEC, START, sees_all=True)
     effects = send(node, request(data=b"x"), NoteKind.ASK)
     assert to_balancer(effects) == [NoteKind.ABSENT]
 
 
-def test_flows_tried_at_a_server_that_has_ended_are_told_absent():
-    """Nobody said anything, and callers waited to their deadlines."""
+def test_sample_packets_to_an_exited_server_are_reported_absent():
+    """Guards against searches that never end since the server is down.
+
+    No answer came, and callers waited until their deadlines.
+    """
     node = agent(known=False)
     sample = CODEC.with_note(request(data=b"x", seq=9, port=7), 0)
     effects = node.on_peer(BALANCER, FlowsAsk(1, TAG, (), (sample,)), START)
     assert to_backend(effects)
     assert any(isinstance(item, CheckBackend) for item in node.tick(START))
     node.on_checked(False, START + 0.001)
-    told = [
+    reports = [
         item.message
         for item in node.tick(START + 0.02)
         if isinstance(item, SendPeer)
     ]
-    assert [len(message.absent) for message in told] == [1]
+    assert [len(message.absent) for message in reports] == [1]
 
 
 @pytest.mark.parametrize("draining", [True, False])
-def test_a_leaving_server_that_listens_no_more_keeps_its_flows(draining):
-    """It serves open flows for two seconds more; 35 of them were reset."""
+def test_draining_server_that_refuses_connections_keeps_its_flows(draining):
+    """Guards against resets of flows that a draining server still serves.
+
+    It serves open flows for two more seconds; 35 of them were reset.
+    """
     node = agent()
-    told = LoadAsk(2, ServerState(revision=7, draining=draining))
-    node.on_peer(BALANCER, told, START)
+    query = LoadAsk(2, ServerState(revision=7, draining=draining))
+    node.on_peer(BALANCER, query, START)
     accept(node, 1)
     ask(node, 1)
     effects = node.on_checked(False, START + 1.0)
--- a/notchhoist/flows/agent/tests/test_leaving.py
+++ b/notchhoist/flows/agent/tests/test_leaving.py
@@ -1,11 +1,11 @@
-"""A backend server that leaves: its agent stops balancers that do not know."""
+"""Tests of draining servers: agents stop balancers that are not informed."""
 
 from notchhoist.flows.agent.bearing import CUTOFF_SHARE, Limits
 from notchhoist.flows.agent.node import make_agent
 from notchhoist.flows.agent.tests.test_flow_offers import (
-    open_flow,
+    offer_flow,
     pause_of,
-    told,
+    report_state,
 )
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.revisions import make_revision
@@ -20,7 +20,7 @@
 from notchhoist.flows.tests.crafting import CODEC, request
 
 DRAIN_S = 3.0
-LATE = START + CUTOFF_SHARE * DRAIN_S
+CUTOFF = START + CUTOFF_SHARE * DRAIN_S
 
 
 def agent():
@@ -28,42 +28,48 @@
     return make_agent(crafting.SERVICE, CODEC, START - 100.0, limits=limits)
 
 
-def test_a_server_that_leaves_gets_nothing_new_after_half_of_the_bound():
-    """Only placing kept flows away, and all balancers had missed the word."""
+def test_draining_server_gets_no_new_flow_after_half_of_the_time_limit():
+    """Guards against new flows when no balancer has learnt of the drain.
+
+    Only the placement by balancers excluded draining servers.
+    """
     node = agent()
-    told(node, draining=True)
-    assert to_backend(open_flow(node, 1, LATE - 0.1))
-    assert pause_of(open_flow(node, 2, LATE)) > 0
+    report_state(node, draining=True)
+    assert to_backend(offer_flow(node, 1, CUTOFF - 0.1))
+    assert pause_of(offer_flow(node, 2, CUTOFF)) > 0
 
 
-def test_its_open_flows_go_on():
+def test_open_flows_of_a_draining_server_continue():
     node = agent()
     accept(node, 1)
     ask(node, 1)
-    told(node, draining=True)
+    report_state(node, draining=True)
     more = request(data=b"more", seq=10, ack=5001, port=1)
-    assert to_backend(send(node, more, NoteKind.HELD, LATE + 1.0))
+    assert to_backend(send(node, more, NoteKind.HELD, CUTOFF + 1.0))
 
 
-def test_the_time_is_counted_from_the_first_word_of_it():
+def test_drain_time_counts_from_the_first_report():
     node = agent()
-    told(node, draining=True)
-    told(node, LATE - 0.1, revision=8, draining=True)
-    assert pause_of(open_flow(node, 2, LATE)) > 0
+    report_state(node, draining=True)
+    report_state(node, CUTOFF - 0.1, revision=8, draining=True)
+    assert pause_of(offer_flow(node, 2, CUTOFF)) > 0
+
 
+def test_report_from_a_store_backup_does_not_end_the_drain():
+    """Guards against a balancer that reads an older backup of the store.
 
-def test_a_word_from_a_copy_does_not_take_the_leave_back():
-    """A balancer that has just started read the restored store."""
+    It started after the store was restored, and knew nothing of the drain.
+    """
     node = agent()
-    told(node, revision=make_revision(1, 63), draining=True)
-    told(node, START + 1.0, revision=make_revision(2, 40))
-    assert pause_of(open_flow(node, 2, LATE)) > 0
-    told(node, START + 1.0, revision=make_revision(2, 64))
-    assert to_backend(open_flow(node, 3, LATE))
+    report_state(node, revision=make_revision(1, 63), draining=True)
+    report_state(node, START + 1.0, revision=make_revision(2, 40))
+    assert pause_of(offer_flow(node, 2, CUTOFF)) > 0
+    report_state(node, START + 1.0, revision=make_revision(2, 64))
+    assert to_backend(offer_flow(node, 3, CUTOFF))
 
 
-def test_a_server_that_starts_again_takes_new_flows():
+def test_restarted_server_gets_new_flows():
     node = agent()
-    told(node, revision=make_revision(1, 63), draining=True, born_ms=5)
-    told(node, revision=make_revision(2, 40), born_ms=9)
-    assert to_backend(open_flow(node, 2, LATE))
+    report_state(node, revision=make_revision(1, 63), draining=True, born_ms=5)
+    report_state(node, revision=make_revision(2, 40), born_ms=9)
+    assert to_backend(offer_flow(node, 2, CUTOFF))
--- a/notchhoist/flows/agent/tests/test_request_gate.py
+++ b/notchhoist/flows/agent/tests/test_request_gate.py
@@ -1,4 +1,4 @@
-"""An agent: who gets a slot, who waits, who is refused or let go."""
+"""Tests of an agent's slots: requests that are served, queued or refused."""
 
 import pytest
 
@@ -43,7 +43,7 @@
     assert to_backend(reply(node, 1, START + 0.05))
 
 
-def test_what_can_be_on_time_goes_before_what_is_late():
+def test_request_that_can_be_on_time_goes_before_a_late_one():
     node = agent(slots=1)
     late = Wish(objective_s=0.225, age_s=0.7, priority=2)
     for port in (1, 3):
@@ -56,7 +56,7 @@
     assert CODEC.decode_request(effect.datagram).flow == request(port=3).flow
 
 
-def test_a_higher_priority_goes_first():
+def test_higher_priority_goes_first():
     node = agent(slots=1)
     high = Wish(objective_s=0.225, priority=1)
     for port in (1, 2):
@@ -69,7 +69,7 @@
     assert CODEC.decode_request(effect.datagram).flow == request(port=3).flow
 
 
-def test_a_request_that_waited_too_long_is_refused_before_its_flow_opens():
+def test_expired_request_of_an_unopened_flow_is_refused():
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -80,7 +80,7 @@
     assert not to_backend(effects)
 
 
-def test_a_request_on_an_open_flow_is_never_refused():
+def test_expired_request_on_an_open_flow_is_released():
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -94,8 +94,11 @@
     assert to_backend(effects)
 
 
-def test_a_late_request_on_an_open_flow_takes_no_slot_from_one_in_time():
-    """Passed on after 0.9 s, late ones took half of the slots in a burst."""
+def test_late_request_on_an_open_flow_takes_no_slot_from_one_on_time():
+    """Guards against late requests that displace those on time.
+
+    Forwarded after 0.9 s, late requests took half of the slots in a burst.
+    """
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -112,7 +115,7 @@
     assert crafting.request(port=2).flow in node.board.waiting
 
 
-def test_copies_of_a_waiting_request_are_passed_on_once():
+def test_retransmissions_of_a_queued_request_are_forwarded_once():
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -122,8 +125,8 @@
     assert len(to_backend(reply(node, 1))) == 1
 
 
-def test_a_packet_that_is_only_tried_does_not_wait_for_a_slot():
-    """It did, and every search took as long as the queue."""
+def test_packet_of_an_unconfirmed_flow_does_not_wait_for_a_slot():
+    """Guards against searches that take as long as the queue."""
     node = agent(slots=1, known=False)
     accept(node, 1)
     ask(node, 1)
@@ -131,8 +134,11 @@
     assert to_backend(send(node, lost, NoteKind.TRY))
 
 
-def test_a_copy_after_a_restart_takes_no_slot():
-    """Each did for 10 s, so a restarted agent served almost nothing."""
+def test_retransmission_after_an_agent_restart_takes_no_slot():
+    """Guards against slots that are held by requests already answered.
+
+    Each was held for 10 s, so a restarted agent served almost nothing.
+    """
     node = agent(slots=1, known=False)
     acknowledged = answer(flags=ACK, ack=10, port=1)
     node.on_backend(acknowledged, START)
@@ -140,7 +146,7 @@
     assert not node.board.active
 
 
-def test_a_slot_whose_answer_never_comes_is_freed():
+def test_slot_whose_answer_never_comes_is_freed():
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -149,7 +155,7 @@
     assert to_backend(node.tick(START + 1.6))
 
 
-def test_a_reset_flow_frees_its_slot():
+def test_reset_flow_frees_its_slot():
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -159,15 +165,20 @@
     assert len(to_backend(send(node, reset, NoteKind.HELD))) == 2
 
 
-def test_a_refused_flow_never_reaches_its_server_any_more():
-    """Its data did, opened the flow there, and the reset broke an open one."""
+def test_refused_flow_never_reaches_its_server():
+    """Guards against a reset of a flow that is open at its server.
+
+    The data of a refused flow reached the server and opened the flow there.
+    """
     node = agent(slots=1, known=False)
-    hurry = Wish(objective_s=0.225, age_s=0.7, left_s=0.1)
+    nearly_expired = Wish(objective_s=0.225, age_s=0.7, left_s=0.1)
     accept(node, 1)
-    accept(node, 2, wish=hurry)
+    accept(node, 2, wish=nearly_expired)
     ask(node, 1)
-    shake = request(ack=SERVER_SEQ + 1, port=2)
-    assert not to_backend(send(node, shake, NoteKind.HELD, wish=hurry))
+    handshake_end = request(ack=SERVER_SEQ + 1, port=2)
+    assert not to_backend(
+        send(node, handshake_end, NoteKind.HELD, wish=nearly_expired)
+    )
     assert to_balancer(node.tick(START + 0.1)) == [NoteKind.REFUSED]
     effects = ask(node, 2, START + 0.11)
     assert not to_backend(effects)
@@ -176,8 +187,11 @@
     assert not node.on_backend(again, START + 0.2)
 
 
-def test_a_caller_that_gives_up_while_it_waits_frees_its_place():
-    """Half of a queue after a loss of power were callers that had left."""
+def test_abandoned_request_leaves_the_queue():
+    """Guards against queues of abandoned requests.
+
+    After a loss of power the callers of half of a queue had already left.
+    """
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
@@ -190,7 +204,7 @@
     assert not to_backend(reply(node, 1, START + 0.6))
 
 
-def test_a_caller_that_closes_along_with_its_request_is_served_last():
+def test_caller_that_closes_along_with_its_request_is_served_last():
     node = agent(slots=1)
     for port in (1, 2, 3):
         accept(node, port)
@@ -205,8 +219,11 @@
     assert len(to_backend(reply(node, 3, START + 0.06))) == 2
 
 
-def test_what_the_opening_packet_said_holds_for_the_request():
-    """Another balancer brought it, and it counted as new."""
+def test_report_with_the_opening_packet_holds_for_the_request():
+    """Guards against a retry that counts as a new request.
+
+    Another balancer, which did not know its age, forwarded the request.
+    """
     node = agent(slots=1)
     late = Wish(objective_s=0.225, age_s=0.7, left_s=1.2)
     accept(node, 1)
--- a/notchhoist/flows/agent/tests/test_vacancies.py
+++ b/notchhoist/flows/agent/tests/test_vacancies.py
@@ -1,4 +1,4 @@
-"""New flows that are offered on the condition that a slot is free."""
+"""Tests of conditional offers: a new flow is taken only if a slot is free."""
 
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBalancer
@@ -24,7 +24,7 @@
     return send(node, request(flags=SYN, port=port), kind, now, **fields)
 
 
-def test_a_server_without_a_free_slot_gets_nothing():
+def test_server_without_a_free_slot_gets_no_conditional_offer():
     node = agent(slots=1)
     accept(node, 1)
     ask(node, 1)
@@ -34,7 +34,7 @@
     assert to_backend(offer(node, 2, kind=NoteKind.PLACE))
 
 
-def test_what_goes_back_tells_the_load_of_that_moment():
+def test_returned_packet_reports_the_current_load():
     node = agent(slots=1)
     accept(node, 1)
     ask(node, 1)
@@ -43,7 +43,7 @@
     assert load.running == 1
 
 
-def test_a_slot_is_free_again_with_the_answer():
+def test_slot_is_free_again_after_the_answer():
     node = agent(slots=1)
     accept(node, 1)
     ask(node, 1)
@@ -51,28 +51,28 @@
     assert to_backend(offer(node, 2, START + 0.02))
 
 
-def test_a_slot_is_promised_to_one_flow():
+def test_slot_is_reserved_for_one_flow():
     node = agent(slots=1)
     assert to_backend(offer(node, 1))
     assert to_balancer(offer(node, 2)) == [NoteKind.BUSY]
 
 
-def test_a_promise_to_a_caller_that_chose_another_server_lapses():
+def test_reservation_expires_if_the_caller_chose_another_server():
     node = agent(slots=1)
     accept(node, 1)
     assert not to_backend(offer(node, 2, START + EXPECTED_S / 2))
     assert to_backend(offer(node, 2, START + EXPECTED_S + 0.01))
 
 
-def test_a_promise_ends_with_a_flow_that_the_server_gives_back():
+def test_reservation_ends_when_the_server_returns_the_flow():
     node = agent(slots=1)
     offer(node, 1)
     node.on_backend(bounced(request(flags=SYN, port=1)), START)
     assert to_backend(offer(node, 2))
 
 
-def test_a_copy_of_an_opening_is_not_turned_back():
-    """Its own promise is what takes the slot."""
+def test_retransmitted_opening_is_not_returned():
+    """The slot is taken by the flow's own reservation."""
     node = agent(slots=1)
     offer(node, 1)
     assert to_backend(offer(node, 1, START + 0.01))
@@ -80,8 +80,11 @@
     assert to_backend(offer(node, 1, START + 0.02))
 
 
-def test_a_server_that_fails_is_not_free_but_is_tried_now_and_then():
-    """Failures take no time: it was always free and drew the flows of all."""
+def test_failing_server_counts_as_busy_but_is_probed():
+    """Guards against a failing server that attracts all new flows.
+
+    Failures take little time, so it always had a free slot.
+    """
     node = agent(slots=2)
     for _ in range(10):
         node.gate.times.note_failure()
@@ -94,26 +97,29 @@
     assert tried == [0, 10, 20]
 
 
-def test_an_upload_takes_no_slot():
+def test_upload_takes_no_slot():
     node = agent(slots=1)
     offer(node, 1, kind=NoteKind.PLACE, wish=Wish(upload=True))
     assert to_backend(offer(node, 2))
 
 
-def test_an_agent_that_was_told_no_slots_takes_what_comes():
+def test_agent_without_a_slot_count_accepts_all_offers():
     node = agent(slots=0)
     for port in (1, 2, 3):
         assert to_backend(offer(node, port))
 
 
-def test_an_evacuated_server_says_that_it_is_closed_not_that_it_is_busy():
+def test_evacuated_server_reports_full_instead_of_busy():
     node = agent(slots=1)
     node.on_peer(BALANCER, LoadAsk(1, ServerState(9, evacuated=True)), START)
     assert to_balancer(offer(node, 1)) == [NoteKind.FULL]
 
 
-def test_an_agent_of_a_former_version_takes_the_offer_for_any_other():
-    """It reads the kind by its number and passes what it does not know."""
+def test_conditional_offer_differs_from_others_in_its_kind_only():
+    """An agent of an earlier version handles it as an ordinary offer.
+
+    Such an agent reads the kind by its number and ignores unknown kinds.
+    """
     wish = Wish(objective_s=0.225, age_s=0.2, priority=1, left_s=2.3)
     ordinary = notes.to_agent(NoteKind.PLACE, 7, wish)
     if_free = notes.to_agent(NoteKind.PLACE_IF_FREE, 7, wish)
