--- a/notchhoist/flows/agent/backend_watch.py
+++ b/notchhoist/flows/agent/backend_watch.py
@@ -146,7 +146,7 @@
         board = self.board
         for flow, held in board.flows.items():
             if board.uses.resting and board.rests(flow, held):
-                continue  # The survey probes it at once.
+                continue  # The survey probes the flow at once.
             if held.phase is Phase.OPEN:
                 held.phase = Phase.TRIED
                 held.running_since = None
--- a/notchhoist/flows/agent/bearing.py
+++ b/notchhoist/flows/agent/bearing.py
@@ -3,7 +3,7 @@
 It enforces limits that no balancer can enforce alone. A server in an evacuated
 availability zone and a draining server get no new flows, not even from
 balancers that have not learnt of it, and a cold server gets no more than its
-rate limit. A rejected flow has reached no server, so the balancer offers it
+cold bound. A refused flow has reached no server, so the balancer offers it
 elsewhere at once.
 """
 
@@ -26,12 +26,12 @@
 
 CUTOFF_SHARE = 0.5
 """Share of the time limit of an evacuation after which flows that have not
-opened yet are rejected too, and of the time limit of a drain after which new
-flows are rejected. The rest allows for the delay of the report to the agent."""
+opened yet are refused too, and of the time limit of a drain after which new
+flows are refused. The rest allows for the delay of the report to the agent."""
 
 DEFER_MAX_S = 0.02
 """How long an agent that has just started defers a new flow until a balancer
-reports the rate limit of the server, seconds: five round trips between zones,
+reports the cold bound of the server, seconds: five round trips between zones,
 and a third of the time after which the balancer offers the flow elsewhere."""
 
 
@@ -41,9 +41,9 @@
     Attributes:
         evacuate_s: Time after which an evacuated zone must get no new flow,
             seconds.
-        cold_overage: Factor by which cold servers may exceed their rate limit.
+        cold_overage: Factor by which cold servers may exceed their cold bound.
         cold_slack: New flows a second that they may get in addition; None if
-            there is no rate limit.
+            there is no cold bound.
         drain_s: Time after which a draining server must get no new flow,
             seconds.
     """
@@ -138,13 +138,14 @@
             evacuated_for_s=round(state.evacuated_for_s, 3),
         )
 
-    def must_defer(self, rate_limited: bool) -> bool:
+    def must_defer(self, has_cold_bound: bool) -> bool:
         """Tells whether to defer a new flow until a server state is reported.
 
         Args:
-            rate_limited: The balancer offers it to a server with a rate limit.
+            has_cold_bound: The balancer offers it to a server that is in slow
+                start and has a cold bound.
         """
-        return rate_limited and self.board.state is None
+        return has_cold_bound and self.board.state is None
 
     def note_backend_restart(self, now: float) -> None:
         """Records a restart of the server that the agent has detected.
@@ -158,17 +159,17 @@
             warm_at = now + state.bound_lasts_s
             self.board.cold_until = max(self.board.cold_until, warm_at)
 
-    def pause_s(self, now: float, rate_limited: bool = False) -> float:
-        """Returns for how long new flows are rejected, seconds; 0 for not.
+    def pause_s(self, now: float, has_cold_bound: bool = False) -> float:
+        """Returns for how long new flows are refused, seconds; 0 for not.
 
         Args:
             now: Runtime clock, seconds.
-            rate_limited: See ``must_defer``.
+            has_cold_bound: See ``must_defer``.
         """
         closed_s = self.closed_pause_s(now)
         if closed_s:
             return closed_s
-        limit = self._openings_limit(now, rate_limited)
+        limit = self._openings_limit(now, has_cold_bound)
         return 0.0 if limit is None else self.handed.pause_s(limit, now)
 
     def closed_pause_s(self, now: float) -> float:
@@ -189,20 +190,20 @@
         cutoff_s = CUTOFF_SHARE * self.limits.drain_s
         return since is not None and now - since >= cutoff_s
 
-    def rejection_reason(self) -> str:
-        """Returns why new flows are rejected, for the log."""
+    def refusal_reason(self) -> str:
+        """Returns why new flows are refused, for the log."""
         if self.board.evacuated_since is not None:
             return "zone evacuated"
         if self.board.leaving_since is not None:
             return "backend server leaves"
         return "cold server bears no more"
 
-    def _openings_limit(self, now: float, rate_limited: bool) -> int | None:
+    def _openings_limit(self, now: float, has_cold_bound: bool) -> int | None:
         """Returns the limit of new flows in one counting window, or None."""
         slack = self.limits.cold_slack
         state = self.board.state
         if state is None:
-            limited = rate_limited and slack is not None
+            limited = has_cold_bound and slack is not None
             return max(1, int(slack or 0) - 1) if limited else None
         if not state.bound_per_s or now >= self.board.cold_until:
             return None
@@ -217,7 +218,7 @@
         self.handed.note(now)
 
     def is_past_evacuation_cutoff(self, now: float) -> bool:
-        """Tells whether the evacuation also rejects unopened flows."""
+        """Tells whether the evacuation also refuses unopened flows."""
         since = self.board.evacuated_since
         cutoff_s = CUTOFF_SHARE * self.limits.evacuate_s
         return since is not None and now - since >= cutoff_s
--- a/notchhoist/flows/agent/flow_offers.py
+++ b/notchhoist/flows/agent/flow_offers.py
@@ -66,15 +66,15 @@
             kind: On which condition the balancer offers it, if any.
             now: Runtime clock, seconds.
         """
-        rate_limited = kind is NoteKind.PLACE_BOUNDED
+        has_cold_bound = kind is NoteKind.PLACE_BOUNDED
         known = self.board.flows.get(segment.flow)
         new = known is None or known.phase in ENDED
-        if new and self.opening_gate.must_defer(rate_limited):
+        if new and self.opening_gate.must_defer(has_cold_bound):
             self._defer(host, segment, now)
         elif new and self._must_send_busy(kind, now):
             self.replies.send_busy(host, segment, now)
         else:
-            self._offer_or_reject(host, segment, rate_limited, now)
+            self._offer_or_refuse(host, segment, has_cold_bound, now)
 
     def _must_send_busy(self, kind: NoteKind, now: float) -> bool:
         """Tells whether a conditional offer is returned for lack of a slot.
@@ -86,16 +86,16 @@
         closed = self.opening_gate.closed_pause_s(now) > 0
         return not closed and not self.vacancies.has_free(now)
 
-    def _offer_or_reject(
-        self, host: str, segment: Segment, rate_limited: bool, now: float
+    def _offer_or_refuse(
+        self, host: str, segment: Segment, has_cold_bound: bool, now: float
     ) -> None:
-        """Offers a flow to the backend server or rejects it."""
+        """Offers a flow to the backend server or refuses it."""
         board = self.board
         held = board.flows.get(segment.flow)
         new = held is None or held.phase in ENDED
-        pause_s = self._pause_s(held, new, rate_limited, now)
+        pause_s = self._pause_s(held, new, has_cold_bound, now)
         if pause_s:
-            self._reject(host, segment, held, pause_s, now)
+            self._refuse(host, segment, held, pause_s, now)
             return
         if held is None or new:
             held = HeldFlow(Phase.OFFERED, host, now, now, opening=segment)
@@ -114,12 +114,12 @@
         board.outbox.append(SendBackend(self.codec.with_note(segment, 0)))
 
     def _pause_s(
-        self, held: HeldFlow | None, new: bool, rate_limited: bool, now: float
+        self, held: HeldFlow | None, new: bool, has_cold_bound: bool, now: float
     ) -> float:
-        """Returns the pause if such a packet is rejected, else 0, seconds."""
+        """Returns the pause if such a packet is refused, else 0, seconds."""
         opening_gate = self.opening_gate
         if held is None or new:
-            return opening_gate.pause_s(now, rate_limited)
+            return opening_gate.pause_s(now, has_cold_bound)
         if held.phase is Phase.OFFERED:
             return opening_gate.closed_pause_s(now)
         if (
@@ -129,7 +129,7 @@
             return opening_gate.closed_pause_s(now)
         return 0.0
 
-    def _reject(
+    def _refuse(
         self,
         host: str,
         segment: Segment,
@@ -147,7 +147,7 @@
         self.board.records.decide(
             "turn away",
             segment.flow,
-            self.opening_gate.rejection_reason(),
+            self.opening_gate.refusal_reason(),
             pause_s=round(pause_s, 3),
             handed=len(self.opening_gate.handed.times),
             revision=state.revision if state else 0,
@@ -181,10 +181,10 @@
             self.replies.send_load(host, now)
 
     def decide_deferred(self, now: float) -> None:
-        """Offers or rejects all deferred flows."""
+        """Offers or refuses all deferred flows."""
         openings, self.deferred = self.deferred, {}
         for item in openings.values():
-            self._offer_or_reject(item.host, item.segment, True, now)
+            self._offer_or_refuse(item.host, item.segment, True, now)
 
     def tick(self, now: float) -> None:
         """Handles deferred flows and offers whose time is over."""
--- a/notchhoist/flows/agent/node.py
+++ b/notchhoist/flows/agent/node.py
@@ -58,7 +58,7 @@
         codec: Codec of the packets.
         gate: Admits requests to the slots of the backend server.
         watch: Detects that the backend server has exited.
-        sweep_due: When expired flows are next removed, seconds.
+        sweep_due: When old flows are next forgotten, seconds.
         counter: Counts the load.
         bearing: Decides whether the backend server may get a new flow.
         replies: Sends replies to balancers.
@@ -207,13 +207,13 @@
         self, listens: bool, now: float, ended: bool | None = None
     ) -> list[Effect]:
         """Handles the outcome of ``CheckBackend``; see ``BackendWatch``."""
-        was_down = self.board.backend_gone
+        had_exited = self.board.backend_gone
         unconfirmed = self._unconfirmed_flows()
         if self.watch.on_checked(listens, now, ended):
             self.offers.offered.clear()
             for flow, held in unconfirmed:
                 self.lookup.note_absent(held.balancer, flow, now)
-        if was_down and not self.board.backend_gone:
+        if had_exited and not self.board.backend_gone:
             self.bearing.note_backend_restart(now)
         return self._take_effects()
 
@@ -264,13 +264,13 @@
 
     def _sweep(self, now: float) -> None:
         flows = self.board.flows
-        expired = [
+        forgotten = [
             flow
             for flow, held in flows.items()
             if now - held.last_at
             > (CLOSED_KEPT_S if held.phase in ENDED else IDLE_RETENTION_S)
         ]
-        for flow in expired:
+        for flow in forgotten:
             del flows[flow]
             self.gate.forget(flow, now)
         self.gate.sweep(now)
--- a/notchhoist/flows/agent/resting.py
+++ b/notchhoist/flows/agent/resting.py
@@ -5,6 +5,9 @@
 twice is lost. So the agent probes each idle flow: it sends the caller's newest
 data to the server again. The server ignores the data if it has the flow,
 returns the packet if it does not, and resets a flow that it has ended.
+
+A flow counts as idle here if the server has shown that it is open and the agent
+queues none of its requests, so also while the server works on one.
 """
 
 import collections
@@ -35,20 +38,20 @@
 fail, and such resets request surveys, too."""
 
 BATCH_SIZE = 100
-"""Flows that are probed at once; the socket buffer of the server holds more."""
+"""Flow probes sent at once; the socket buffer of the server holds more."""
 
 BATCH_INTERVAL_S = 0.01
 """Time between two batches, seconds."""
 
 
 class IdleFlowSurvey(Struct, eq=False):
-    """Probes idle flows and resets those that the server no longer has.
+    """Sends flow probes and resets idle flows that the server no longer has.
 
     Attributes:
         board: Shared state of the agent.
         codec: Codec of the packets.
         watch: Checks the liveness of the server.
-        unprobed: Flows that the current survey has not probed yet.
+        flows_to_probe: Flows without a flow probe in the current survey.
         reason: Why the current survey was begun.
         surveyed_at: When the last survey began, seconds.
         next_reason: Why the next survey is requested, or empty if it is not.
@@ -61,7 +64,7 @@
     board: AgentBoard
     codec: SegmentCodec
     watch: BackendWatch
-    unprobed: collections.deque[bytes] = field(
+    flows_to_probe: collections.deque[bytes] = field(
         default_factory=collections.deque
     )
     reason: str = ""
@@ -142,7 +145,7 @@
         if now >= self._survey_due():
             self._begin_survey(now)
         if now >= self.batch_due:
-            self._probe_batch(now)
+            self._probe_flows(now)
 
     def _check_silent(self, now: float) -> None:
         """Checks the liveness of a server that has been silent."""
@@ -153,7 +156,7 @@
         if last_shown is None:
             return
         self.watch.schedule_check(now)
-        self._probe(last_shown, now)
+        self._probe_flow(last_shown, now)
 
     def _last_shown(self) -> bytes | None:
         """Returns the idle flow that the server has shown open last, if any."""
@@ -169,22 +172,22 @@
         self.interval_s = min(2 * self.interval_s, SURVEY_INTERVAL_MAX_S)
         self.watch.schedule_check(now)
         idle = [flow for flow, _ in self.board.resting()]
-        self.unprobed.clear()
-        self.unprobed.extend(idle)
+        self.flows_to_probe.clear()
+        self.flows_to_probe.extend(idle)
         if not idle:
             return
         self.batch_due = now
         self.board.records.counters[Count.SURVEYS] += 1
         self.board.records.decide("survey", b"", self.reason, flows=len(idle))
 
-    def _probe_batch(self, now: float) -> None:
-        for _ in range(min(BATCH_SIZE, len(self.unprobed))):
-            self._probe(self.unprobed.popleft(), now)
-        more = bool(self.unprobed)
+    def _probe_flows(self, now: float) -> None:
+        for _ in range(min(BATCH_SIZE, len(self.flows_to_probe))):
+            self._probe_flow(self.flows_to_probe.popleft(), now)
+        more = bool(self.flows_to_probe)
         self.batch_due = now + BATCH_INTERVAL_S if more else float("inf")
 
-    def _probe(self, flow: bytes, now: float) -> None:
-        """Probes a flow unless it is no longer idle."""
+    def _probe_flow(self, flow: bytes, now: float) -> None:
+        """Sends a flow probe unless the flow is no longer idle."""
         held = self.board.flows.get(flow)
         if held is None or not self.board.rests(flow, held):
             return
--- a/notchhoist/flows/agent/tests/test_agent.py
+++ b/notchhoist/flows/agent/tests/test_agent.py
@@ -108,7 +108,7 @@
 
 
 def test_unconfirmed_flow_is_not_reported_as_present():
-    """Guards against a false report of a flow whose server was down.
+    """Guards against a false report of a flow whose server had exited.
 
     The next balancer that searched for the flow trusted the report.
     """
@@ -233,7 +233,7 @@
 
 
 def test_sample_packets_to_an_exited_server_are_reported_absent():
-    """Guards against searches that never end since the server is down.
+    """Guards against searches that never end since the server has exited.
 
     No answer came, and callers waited until their deadlines.
     """
--- a/notchhoist/flows/agent/tests/test_flow_offers.py
+++ b/notchhoist/flows/agent/tests/test_flow_offers.py
@@ -62,7 +62,7 @@
     assert to_backend(offer_flow(node, 3))
 
 
-def test_retransmitted_opening_is_rejected_after_an_evacuation():
+def test_retransmitted_opening_is_refused_after_an_evacuation():
     node = agent()
     offer_flow(node, 2)
     report_state(node, evacuated=True)
@@ -94,7 +94,7 @@
     assert not node.board.waiting
 
 
-def test_cold_server_gets_its_rate_limit_in_each_window():
+def test_cold_server_gets_its_cold_bound_in_each_window():
     node = agent()
     report_state(node, cold_for_s=2.0, bound_per_s=6.0, bound_lasts_s=2.0)
     taken = [
@@ -114,14 +114,14 @@
     assert pause_of(offer_flow(node, 2, START + 0.02)) > 0.9
 
 
-def test_warm_server_has_no_rate_limit():
+def test_warm_server_has_no_cold_bound():
     node = agent()
     report_state(node, cold_for_s=0.5, bound_per_s=1.0, bound_lasts_s=2.0)
     offer_flow(node, 1)
     assert to_backend(offer_flow(node, 2, START + 0.6))
 
 
-def test_agent_without_state_defers_a_rate_limited_flow():
+def test_agent_without_state_defers_a_flow_under_a_cold_bound():
     node = agent()
     effects = offer_flow(node, 1, kind=NoteKind.PLACE_BOUNDED)
     [load_report] = [item for item in effects if isinstance(item, SendPeer)]
@@ -140,7 +140,7 @@
     assert to_balancer(effects) == [NoteKind.FULL] * 6
 
 
-def test_agent_without_state_offers_an_unlimited_flow_at_once():
+def test_agent_without_state_offers_a_flow_without_a_cold_bound():
     assert to_backend(offer_flow(agent(), 1))
 
 
--- a/notchhoist/flows/agent/tests/test_resting.py
+++ b/notchhoist/flows/agent/tests/test_resting.py
@@ -88,8 +88,8 @@
     assert reset_ports(node.on_backend(bounced(NEXT_REQUEST), LATER)) == [1]
     asked = to_backend(node.tick(LATER))
     assert sorted(ports_of(asked)) == [2, 3]
-    gone = bounced(sample_of(node, 2))
-    assert reset_ports(node.on_backend(gone, LATER)) == [2]
+    returned = bounced(sample_of(node, 2))
+    assert reset_ports(node.on_backend(returned, LATER)) == [2]
     more = request(data=b"m", seq=10, ack=SERVER_SEQ + 2, port=3)
     assert to_backend(send(node, more, NoteKind.HELD, LATER))
     assert node.board.records.counters["reset_at_rest"] == 1
@@ -106,8 +106,8 @@
 
 def test_returned_opening_packet_resets_no_flow():
     node = agent_with_idle_flows([1])
-    copy = request(flags=SYN, port=1)
-    assert not reset_ports(node.on_backend(bounced(copy), LATER))
+    retransmission = request(flags=SYN, port=1)
+    assert not reset_ports(node.on_backend(bounced(retransmission), LATER))
 
 
 def test_reopened_flow_is_not_reset():
@@ -122,7 +122,7 @@
     assert not reset_ports(node.on_backend(bounced(NEXT_REQUEST), LATER))
 
 
-def test_flow_with_a_queued_request_is_not_probed():
+def test_flow_with_a_queued_request_gets_no_flow_probe():
     node = agent_with_idle_flows([1, 2], slots=1)
     ask(node, 1, LATER, seq=10)
     ask(node, 2, LATER, seq=10)
@@ -179,8 +179,8 @@
     node = agent_with_idle_flows([1, 2])
     ended = answer(flags=RST, seq=SERVER_SEQ + 2, port=1)
     assert reset_ports(node.on_backend(ended, LATER)) == [1]
-    [copy] = to_backend(node.tick(LATER))
-    assert CODEC.decode_request(copy.datagram).size == 9
+    [flow_probe] = to_backend(node.tick(LATER))
+    assert CODEC.decode_request(flow_probe.datagram).size == 9
     ended = answer(flags=RST, seq=SERVER_SEQ + 2, port=2)
     assert reset_ports(node.on_backend(ended, LATER)) == [2]
     assert node.board.records.counters["reset_at_rest"] == 1
--- a/notchhoist/flows/agent/tests/test_vacancies.py
+++ b/notchhoist/flows/agent/tests/test_vacancies.py
@@ -80,7 +80,7 @@
     assert to_backend(offer(node, 1, START + 0.02))
 
 
-def test_failing_server_counts_as_busy_but_is_probed():
+def test_failing_server_counts_as_busy_but_gets_some_flows():
     """Guards against a failing server that attracts all new flows.
 
     Failures take little time, so it always had a free slot.
--- a/notchhoist/flows/agent/vacancies.py
+++ b/notchhoist/flows/agent/vacancies.py
@@ -6,7 +6,7 @@
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model.held import EXPECTED_S
 
-FAILING_PROBE_INTERVAL_S = 1.0
+FAILING_OFFER_INTERVAL_S = 1.0
 """Time between two new flows for a failing server, seconds; they show whether
 it has recovered."""
 
@@ -25,12 +25,12 @@
     Attributes:
         board: Shared state of the agent.
         request_gate: Knows whether the server is failing.
-        failing_probed_at: When a failing server last got a flow, seconds.
+        failing_offered_at: When a failing server last got a flow, seconds.
     """
 
     board: AgentBoard
     request_gate: RequestGate
-    failing_probed_at: float = float("-inf")
+    failing_offered_at: float = float("-inf")
 
     def reserve(self, flow: bytes, now: float) -> None:
         """Reserves a slot for the first request of a flow."""
@@ -43,8 +43,9 @@
         counts as free.
         """
         board = self.board
-        if self.request_gate.times.is_failing and not self._may_probe_failing(
-            now
+        if (
+            self.request_gate.times.is_failing
+            and not self._may_offer_to_failing(now)
         ):
             return False
         if not board.slots:
@@ -58,9 +59,9 @@
         taken = len(board.active) + len(board.waiting) + len(reservations)
         return taken < board.slots
 
-    def _may_probe_failing(self, now: float) -> bool:
-        """Tells whether a new flow may now probe a failing server."""
-        if now - self.failing_probed_at < FAILING_PROBE_INTERVAL_S:
+    def _may_offer_to_failing(self, now: float) -> bool:
+        """Tells whether a failing server may now get a new flow."""
+        if now - self.failing_offered_at < FAILING_OFFER_INTERVAL_S:
             return False
-        self.failing_probed_at = now
+        self.failing_offered_at = now
         return True
