--- a/notchhoist/flows/__init__.py
+++ b/notchhoist/flows/__init__.py
@@ -1,15 +1,15 @@
-"""Opaque flows: packets of connections that only their two ends may read.
+"""Layer-4 load balancing of opaque flows: connections with unreadable payload.
 
-A balancer forwards a caller's packets to an agent; the agent hands them to the
-backend server beside it and sends the answers straight to the caller. Nothing
-here does I/O, reads a clock or knows how a packet is laid out:
-``model.segments`` holds what a codec must tell. From the top down, each
-subpackage imports only those above it:
+A balancer forwards a caller's packets to an agent. The agent hands them to the
+backend server on its host and sends the answers directly to the caller. Nothing
+here does I/O, reads a clock or knows the layout of a packet:
+``model.segments`` defines what a packet codec provides. Each subpackage imports
+only those listed above it:
 
-* ``model``: what both roles share: packets, messages, published facts.
+* ``model``: types that both roles share: packets, messages, published state.
 * ``codec``: the encoding of the control messages.
-* ``decisions``: pure functions and small classes that choose.
-* ``boards``: the blackboard of each role.
+* ``decisions``: pure functions and small classes that make decisions.
+* ``boards``: the blackboard (shared state) of each role.
 * ``published``: how a balancer learns what the platform publishes.
 * ``balancer``, ``agent``: the controllers and the node of each role; neither
   imports the other.
--- a/notchhoist/flows/model/__init__.py
+++ b/notchhoist/flows/model/__init__.py
@@ -1,15 +1,15 @@
-"""What balancers and agents share: packets, messages and published facts.
+"""Types that balancers and agents share: packets, messages, published state.
 
-From the top down, each module imports only those above it:
+Each module imports only those listed above it:
 
-* ``mechanisms``: switches to put mechanisms out of use.
-* ``segments``: a packet as the decisions see it, and the codec's ``Protocol``.
-* ``wishes``: what a request wishes for, and how long its caller waits.
-* ``notes``: what balancer and agent tell each other inside a packet.
-* ``fleet``: services' routes and backend servers as the platform lists them.
-* ``view``: the same by revision, so that differences can travel.
+* ``mechanisms``: switches that disable mechanisms.
+* ``segments``: a decoded packet, and the ``Protocol`` of the packet codec.
+* ``wishes``: hints on a flow's requests and on how long their caller waits.
+* ``notes``: the bytes of a packet that balancers and agents use themselves.
+* ``fleet``: routes and backend servers as the platform publishes them.
+* ``view``: the published state by revision, to send only what changed.
 * ``messages``: control messages between processes.
 * ``effects``: what a node asks its runtime to do.
-* ``held``: the flows of one backend server, as its agent sees them.
+* ``held``: the flows of one backend server, as its agent tracks them.
 * ``records``: counters, latencies and decisions for operators.
 """
--- a/notchhoist/flows/model/digests.py
+++ b/notchhoist/flows/model/digests.py
@@ -1,4 +1,4 @@
-"""Digests of published routes, to compare what two processes hold."""
+"""Digests of published routes, to compare the routes of two processes."""
 
 import zlib
 from collections.abc import Iterable
@@ -9,9 +9,9 @@
 
 
 def route_digest(route: Route) -> int:
-    """Returns a digest of all that is known of a route, 0 to 2**32 - 1.
+    """Returns a digest of all fields of a route, 0 to 2**32 - 1.
 
-    It is the same whether a number was read as whole or with a fraction.
+    It does not depend on whether a number was parsed as an integer or a float.
     """
     fields = (
         route.name,
@@ -26,5 +26,5 @@
 
 
 def routes_digest(routes: Iterable[Route]) -> int:
-    """Returns the digest of some routes; their order does not matter."""
+    """Returns the digest of a set of routes, independent of their order."""
     return sum(route_digest(route) for route in routes)
--- a/notchhoist/flows/model/effects.py
+++ b/notchhoist/flows/model/effects.py
@@ -1,4 +1,4 @@
-"""What a node of the opaque-flow path asks its runtime to do."""
+"""Effects: what a node of the opaque-flow path asks its runtime to do."""
 
 import enum
 
@@ -8,12 +8,13 @@
 
 
 class Reach(enum.Enum):
-    """What came of an attempt to connect.
+    """Result of an attempt to connect to a host.
 
     Attributes:
-        ACCEPTED: Somebody listens, if only the kernel of a paused process.
-        REFUSED: The host lives and nobody listens.
-        SILENT: No answer came, nor a usable one.
+        ACCEPTED: The connection was accepted, if only by the kernel for a
+            paused process.
+        REFUSED: The host is up, but no process listens.
+        SILENT: No usable answer arrived.
     """
 
     ACCEPTED = "accepted"
@@ -22,13 +23,13 @@
 
 
 class SendAgent(Struct, frozen=True):
-    """A packet to the agent on a host.
+    """Sends a packet to the agent on a host.
 
     Attributes:
-        host: IP number of the host.
+        host: IP address of the host.
         datagram: The packet.
-        flow: Key of its flow where it may be a copy, else empty.
-        seq: Its number in the flow.
+        flow: Key of its flow where it may be a retransmission, else empty.
+        seq: Its sequence number in the flow.
     """
 
     host: str
@@ -38,14 +39,14 @@
 
 
 class SendBalancer(Struct, frozen=True):
-    """A packet to the balancer on a host."""
+    """Sends a packet to the balancer on a host."""
 
     host: str
     datagram: bytes
 
 
 class SendCaller(Struct, frozen=True):
-    """A packet to a caller; see ``SendAgent`` for its attributes."""
+    """Sends a packet to a caller; see ``SendAgent`` for the attributes."""
 
     host: str
     datagram: bytes
@@ -54,37 +55,37 @@
 
 
 class SendBackend(Struct, frozen=True):
-    """A packet to the backend server on this host."""
+    """Sends a packet to the backend server on this host."""
 
     datagram: bytes
 
 
 class SendPeer(Struct, frozen=True):
-    """A control message to the process on a host."""
+    """Sends a control message to the process on a host."""
 
     host: str
     message: PeerMessage
 
 
 class CheckBackend(Struct, frozen=True):
-    """Finds out whether the backend server on this host still listens.
+    """Checks whether the backend server on this host still listens.
 
     Attributes:
-        sample: A packet that its process may get once more, to find out whether
-            it takes packets where it accepts no connections; or empty.
+        sample: A packet that may be sent to it once more, to check whether its
+            process takes packets although it accepts no connections; or empty.
     """
 
     sample: bytes = b""
 
 
 class CheckHost(Struct, frozen=True):
-    """Finds out whether the process on another host is there."""
+    """Checks whether the process on another host accepts connections."""
 
     host: str
 
 
 class ConfirmView(Struct, frozen=True):
-    """Reads at once what the platform has published since the last time."""
+    """Reads at once what the platform has published since the last read."""
 
 
 Effect = (
--- a/notchhoist/flows/model/fleet.py
+++ b/notchhoist/flows/model/fleet.py
@@ -7,18 +7,18 @@
 from msgspec.structs import replace
 
 from notchhoist.base.errors import ConfigurationProblem
-from notchhoist.flows.model.wishes import LEAST_LEFT_S, Wish
+from notchhoist.flows.model.wishes import REMAINING_MIN_S, Wish
 
 FOREVER = float("inf")
 
 
 class RequestKind(enum.Enum):
-    """What the requests of a route are like.
+    """Kind of the requests of a route.
 
     Attributes:
-        IDEMPOTENT: They may run more than once; flows carry many of them.
-        ONCE_ONLY: They may run once; a flow carries one.
-        UPLOAD: Large requests that may run once; a flow carries one.
+        IDEMPOTENT: They may run more than once; a flow carries many of them.
+        ONCE_ONLY: Each may run only once; a flow carries one.
+        UPLOAD: Large requests that may run only once; a flow carries one.
     """
 
     IDEMPOTENT = "idempotent"
@@ -27,16 +27,16 @@
 
 
 class Route(Struct, frozen=True):
-    """Where the new flows to one service address go.
+    """Services that get the new flows of one service address.
 
     Attributes:
-        name: Name for people.
+        name: Name for operators.
         service_key: Opaque key of the service address.
-        kind: What its requests are like.
-        targets: Services with their weights, at least one.
+        kind: Kind of its requests.
+        targets: At least one service, each with its weight.
         priority: 0 is the highest.
         objective_ms: Latency objective, ms.
-        timeout_ms: Longest time of a request, ms.
+        timeout_ms: Timeout of a request, ms.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
     @property
     def services(self) -> tuple[str, ...]:
-        """The services that it names, also those of weight 0."""
+        """The services that it names, including those of weight 0."""
         return tuple(service for service, _ in self.targets)
 
     @property
@@ -63,7 +63,7 @@
         return self.kind is RequestKind.IDEMPOTENT
 
     def wish(self, age_s: float = 0.0, may_be_retry: bool = False) -> Wish:
-        """Returns what agents are told of its requests.
+        """Returns the hints on its requests that are sent to agents.
 
         Args:
             age_s: How long the caller has been waiting, seconds.
@@ -82,16 +82,16 @@
         """Returns how long a caller still waits, seconds; 0 if unknown."""
         if not self.timeout_ms:
             return 0.0
-        return max(LEAST_LEFT_S, self.timeout_ms / 1000 - age_s)
+        return max(REMAINING_MIN_S, self.timeout_ms / 1000 - age_s)
 
 
 class ColdBound(Struct, frozen=True):
-    """What the backend servers of a service bear while they are cold.
+    """Limit of new flows for backend servers of a service in slow start.
 
     Attributes:
         service: Name of the service.
-        per_s: New flows that a cold server bears in a second.
-        lasts_s: How long a server is cold after its start, seconds.
+        per_s: New flows per second that a cold server accepts.
+        lasts_s: How long slow start lasts after a server's start, seconds.
     """
 
     service: str
@@ -103,14 +103,14 @@
     """One version of the published configuration.
 
     Attributes:
-        version: Rises with each change.
+        version: Increases with each change.
         routes: Routes by the key of their service address.
-        idle_s: A flow may be forgotten after this much silence, seconds.
-        cold_bounds: Bounds of the services that have one.
-        unread: Keys of routes that stand there and could not be read; empty
-            where another balancer told it, likewise.
-        problems: What could not be read of it; empty where another balancer
-            told it, as only those are told that read the platform.
+        idle_s: Idle time after which a flow may be dropped, seconds.
+        cold_bounds: Cold bounds of the services that have one.
+        unread: Keys of routes in the document that could not be parsed; empty
+            if the table came from another balancer.
+        problems: What could not be parsed; empty if the table came from another
+            balancer, as only balancers that read the platform get it.
     """
 
     version: int
@@ -121,10 +121,11 @@
     unread: frozenset[bytes] = frozenset()
 
     def with_former(self, former: "RouteTable | None") -> "RouteTable":
-        """Returns the same with unread routes as they were in force before.
+        """Returns a copy that takes unreadable routes from the former table.
 
-        A balancer that has started since then does not have them; it is told
-        them, and does not take them from others by telling the same version.
+        A balancer that started later does not have these routes. It gets them
+        from the others and does not remove them there by sending its own table
+        of the same version.
         """
         if former is None:
             return self
@@ -138,7 +139,7 @@
         return replace(self, routes={**kept, **self.routes}, unread=unread)
 
     def cold_bound(self, service: str) -> ColdBound | None:
-        """Returns the bound of a service's cold servers, or None."""
+        """Returns the cold bound of a service, or None."""
         for bound in self.cold_bounds:
             if bound.service == service:
                 return bound
@@ -146,21 +147,21 @@
 
 
 class ServerEntry(Struct, frozen=True):
-    """A backend server as it announces itself.
+    """Published entry of a backend server.
 
     Attributes:
-        server_id: Its id; a server that starts again may have the same one.
+        server_id: Its id; a restarted server may keep it.
         service: Service that it runs.
-        host: IP number of its host, where its agent is too.
+        host: IP address of its host, where its agent runs too.
         zone: Availability zone.
-        slots: Requests that it works on at once.
+        slots: Requests that it processes concurrently.
         draining: It takes no new work.
-        warm_in_s: How long it stays slow after its start, seconds.
-        created: Grows with the order in which entries were created.
-        born_ms: When it started by its own clock, Unix ms; 0 if not told. Only
-            good for telling one incarnation from another.
-        withdrawn: It drains because its entry could not be read, not because
-            it has said so.
+        warm_in_s: Remaining time of its slow start, seconds.
+        created: Increases in the order in which entries were created.
+        born_ms: Its start time by its own clock, Unix ms; 0 if not published.
+            It serves only to tell incarnations apart.
+        withdrawn: It counts as draining because its entry could not be parsed,
+            not because the server announced it.
     """
 
     server_id: str
@@ -175,43 +176,47 @@
     withdrawn: bool = False
 
     def is_same_as(self, other: "ServerEntry") -> bool:
-        """Tells whether two entries of one id are of the same incarnation."""
-        told = self.born_ms and other.born_ms
-        reborn = told and self.born_ms != other.born_ms
-        return not reborn and self.is_beside(other)
+        """Tells whether two entries with one id are of the same incarnation."""
+        both_known = self.born_ms and other.born_ms
+        restarted = both_known and self.born_ms != other.born_ms
+        return not restarted and self.is_beside(other)
 
     def is_beside(self, other: "ServerEntry") -> bool:
-        """Tells whether both are served by one agent."""
+        """Tells whether one agent serves both servers."""
         return (self.host, self.service) == (other.host, other.service)
 
 
 class Server(Struct, eq=False):
-    """What a balancer knows of a backend server.
+    """State of a backend server as known to a balancer.
 
     Attributes:
         entry: Its entry, as last published.
         tag: Tag of its service.
-        warm_at: When it is past its slow start; runtime clock, seconds.
-        began_cold: It was still slow from its start when it was first seen.
-        unlisted_at: When its entry vanished; ``FOREVER`` while it is listed.
-        flows: Open flows, as last told plus those placed since.
-        running: Unanswered requests, likewise.
-        offered: Flows that this balancer has offered and that its agent has
-            not answered; a load that it tells meanwhile leaves them out.
+        warm_at: When its slow start ends; runtime clock, seconds.
+        began_cold: It was in slow start when it was first seen.
+        unlisted_at: When its entry was unlisted; ``FOREVER`` while it is
+            listed.
+        flows: Open flows: the last reported number plus flows placed since.
+        running: Unanswered requests, counted likewise.
+        offered: Flows that this balancer has offered and that the agent has not
+            answered; loads that the agent reports meanwhile omit them.
         pace_ms: Its service time, ms; 0 if unknown.
         heard_at: When its agent was last heard.
-        probed_at: When the first unanswered probe went out, or None.
-        probe_sent_at: When the last probe went out.
-        suspected: Its agent owes an answer; no new flows.
-        lost: Its agent has been silent so long that its flows are given up.
-        restarting_until: Its agent is away until then and comes back: it said
-            so, or its host refused a connection.
-        checked_at: When a check of its host last ended, seconds.
-        refused_since: Since when its host has refused every connection, and its
-            agent was not heard, seconds, or None.
-        full_until: Its agent has said that until then it bears no new flow.
-        state_told: Revision of what this balancer last told its agent.
-        told_at: When that was, seconds.
+        probed_at: When the first unanswered health probe was sent, or None.
+        probe_sent_at: When the last health probe was sent.
+        suspected: Its agent has not answered in time; it gets no new flows.
+        lost: Its agent has been silent for so long that it is declared lost,
+            with its flows.
+        restarting_until: Its agent is expected to be restarting until then: the
+            agent announced it, or its host refused a connection.
+        checked_at: When the last check of its host ended, seconds.
+        refused_since: Since when its host has refused every connection while
+            its agent was silent, seconds, or None.
+        full_until: Its agent has reported that it is at its cold bound and
+            accepts no new flow until then.
+        state_told: Revision of the ``ServerState`` that this balancer last sent
+            to its agent.
+        told_at: When that was sent, seconds.
         reborn: It has the id of a server that it has replaced.
     """
 
@@ -238,24 +243,25 @@
     reborn: bool = False
 
     def note_offer(self) -> None:
-        """Takes account of a new flow that is offered to it."""
+        """Counts a new flow that is offered to the server."""
         self.offered += 1
         self.flows += 1
         self.running += 1
 
     def note_offer_ended(self) -> None:
-        """Takes account of an answer to an offer, or of none in time."""
+        """Stops counting an offer that was answered or has timed out."""
         if self.offered:
             self.offered -= 1
             self.flows -= 1
             self.running -= 1
 
     def note_load(self, flows: int, running: int, pace_ms: int) -> None:
-        """Takes what its agent tells; offers under way count besides.
+        """Records the load that the agent reports, plus pending offers.
 
-        Without them a balancer that placed 200 flows in a moment took each
-        answer's load, counted before the rest had come, for the whole: after
-        a loss of power one server got twice as many as the next.
+        A reported load does not include offers that had not arrived when it was
+        counted. Without adding them, a balancer that placed 200 flows at once
+        took each reply's load for the whole load: after a power loss, one
+        server got twice as many flows as the next one.
         """
         self.flows = flows + self.offered
         self.running = running + self.offered
--- a/notchhoist/flows/model/held.py
+++ b/notchhoist/flows/model/held.py
@@ -1,4 +1,4 @@
-"""The flows of one backend server, as the agent beside it sees them."""
+"""The flows of one backend server, as tracked by its agent."""
 
 import enum
 
@@ -12,53 +12,58 @@
 )
 from notchhoist.flows.model.wishes import Wish
 
-ANSWER_WINDOW = 1 << 20
-"""How far a caller's acknowledgement may lie behind a server's first number
-and still show that the caller chose this server, bytes; opening numbers are
-random in 2**32, so a stranger's falls in by chance once in 4,000."""
+ACK_WINDOW_BYTES = 1 << 20
+"""How far a caller's acknowledgement may follow a server's initial sequence
+number and still show that the caller chose this server, bytes. Initial numbers
+are random in 2**32, so an acknowledgement of another server's data lies in the
+window by chance once in 4,000."""
 
 PACE_GAIN = 0.1
-"""Weight of a new service time in the smoothed one: about the last 20."""
+"""Weight of a new sample in the smoothed service time: it covers about the last
+20 samples."""
 
 CLOSED_KEPT_S = 3.0
-"""How long a closed flow is kept for stray copies, seconds; above the longest
-pause between two copies, 1.6 s."""
+"""How long a closed flow is kept for late retransmissions, seconds; more than
+the longest interval between two retransmissions, 1.6 s."""
 
-COPY_AFTER_S = 0.1
-"""Ends send data again after 0.2 s and more. What was seen before by its number
-and comes sooner was overtaken by the packet behind it, seconds."""
+RETRANSMISSION_MIN_S = 0.1
+"""Shortest time to a retransmission, seconds: both ends send data again after
+0.2 s or more. Data with an old sequence number that arrives sooner was
+reordered on the way, not sent again."""
 
 STUCK_S = 1.5
-"""A request that got no answer for so long, and for ``STUCK_PACES`` service
-times, no longer counts as holding a slot. Work takes up to six times the mean;
-one request too many at a backend server only waits there."""
+"""A request without an answer for this long, seconds, and for ``STUCK_PACES``
+service times, no longer counts as using a slot. Requests take up to six times
+the mean; one request too many at a backend server only waits there."""
 
 STUCK_PACES = 8.0
 
 
 EXPECTED_S = 0.2
-"""A flow that was offered counts as a request for so long, seconds: a caller
-asks a round trip of 2 to 8 ms after the acceptance, and sends a copy 0.2 s
-later where that was lost."""
+"""How long an offered flow counts as a request, seconds: a caller sends its
+request a round-trip time of 2 to 8 ms after the acceptance, and retransmits it
+after 0.2 s if it was lost."""
 
 
-YOUNG_S = 5.0
-"""Servers keep a silent flow for longer than this, seconds; they close idle
-ones after 12 s on the deployments of today."""
+IDLE_TIMEOUT_MIN_S = 5.0
+"""Backend servers keep an idle flow for longer than this, seconds; in current
+deployments they close it after 12 s."""
 
 
 class Phase(enum.Enum):
-    """How far a flow has come.
+    """Phase of a flow at a backend server.
 
     Attributes:
         OFFERED: Its opening packet was handed to the backend server.
-        ACCEPTED: The backend server accepted; the caller may choose another.
+        ACCEPTED: The backend server accepted it; the caller may still choose
+            another server.
         OPEN: The caller chose this backend server.
-        TRIED: Handed over on suspicion after a restart of the agent.
-        REFUSED: It was accepted but never opened, and its caller is told so.
-            Were the end of its handshake to reach the server now, the flow
-            would open there, and the reset be one of an open flow.
-        CLOSED: One end has ended it.
+        TRIED: Unconfirmed: after a restart of the agent, a packet was handed to
+            the server to learn whether the flow is there.
+        REFUSED: The server accepted it, it never opened, and its caller gets a
+            reset. The rest of the handshake must not reach the server now: the
+            flow would open there, and the reset would end an open flow.
+        CLOSED: One end has closed it.
     """
 
     OFFERED = "offered"
@@ -70,32 +75,33 @@
 
 
 ENDED = (Phase.CLOSED, Phase.REFUSED)
-"""Phases of a flow that can only begin anew."""
+"""Phases of ended flows; only a new opening can follow."""
 
 
 class HeldFlow(Struct, eq=False):
-    """One flow at the backend server.
+    """A flow at the backend server.
 
     Attributes:
-        phase: How far it has come.
-        balancer: Host of the balancer that its packets come through.
-        since: When it got into its phase, seconds.
+        phase: Its phase.
+        balancer: Host of the balancer that forwards its packets.
+        since: When it entered its phase, seconds.
         last_at: When it was last used, seconds.
         opening: The opening packet, until the server has answered it.
-        wish: What was said of its caller when it was offered, or None; the
-            balancer that brings the request may not know it.
-        wished_at: When that was, seconds.
-        server_seq: The backend server's first sequence number.
+        wish: Request hints that came with the offer, or None. They are kept
+            because the balancer that forwards the request may not know them.
+        wished_at: When those hints came, seconds.
+        server_seq: The backend server's initial sequence number.
         request_end: Sequence number after the newest request data.
         running_since: When the unanswered request arrived, or None.
-        request_at: When the newest part of it arrived, seconds.
-        sampled: It was only tried, to answer a balancer's question.
-        sample: The newest packet from the caller, to reset it by.
-        shown_at: When the server last sent a packet that shows it open,
-            seconds.
-        data: The newest packet from the caller that holds data.
-        asked_at: When the server was last asked about it by a copy of a packet,
-            seconds, or None.
+        request_at: When the newest part of that request arrived, seconds.
+        sampled: It is known here only from a sample packet, sent to answer a
+            balancer's query.
+        sample: The newest packet from the caller, from which a reset is made.
+        shown_at: When the server last sent a packet that shows that the flow is
+            open, seconds.
+        data: The newest packet from the caller that contains data.
+        asked_at: When the last flow probe, a retransmitted packet, was sent to
+            the server, seconds, or None.
     """
 
     phase: Phase
@@ -116,10 +122,10 @@
     asked_at: float | None = None
 
     def wish_now(self, told: Wish, now: float) -> Wish:
-        """Returns what is known of the caller of the first request.
+        """Returns the hints on the first request and its caller.
 
         Args:
-            told: What came with the request.
+            told: Hints that came with the request, used without earlier ones.
             now: Runtime clock, seconds.
         """
         if self.wish is None:
@@ -127,12 +133,12 @@
         return self.wish.older(now - self.wished_at)
 
     def is_busy(self, now: float, stuck_s: float, expected_s: float) -> bool:
-        """Tells whether it has a request that works, or one about to come.
+        """Tells whether it has a request that runs or is about to arrive.
 
         Args:
             now: Runtime clock, seconds.
-            stuck_s: How long an answer may take, seconds.
-            expected_s: How long a request is expected, seconds.
+            stuck_s: How long a request without an answer counts, seconds.
+            expected_s: How long a new flow counts as a request, seconds.
         """
         if self.running_since is not None:
             return now - self.running_since < stuck_s
@@ -140,24 +146,26 @@
         return new and now - self.since < expected_s
 
     def is_young(self, now: float) -> bool:
-        """Tells whether a server that lives cannot have forgotten it yet."""
-        return self.phase is Phase.OPEN and now - self.since < YOUNG_S
+        """Tells whether a running server must still have the flow."""
+        return (
+            self.phase is Phase.OPEN and now - self.since < IDLE_TIMEOUT_MIN_S
+        )
 
     @property
     def was_open_here(self) -> bool:
-        """Whether the server itself has shown that it held the open flow."""
+        """Whether the server itself has shown that it has the open flow."""
         return self.phase is Phase.OPEN and self.shown_at > float("-inf")
 
     @property
     def rests_asked(self) -> bool:
-        """Whether its caller has sent nothing since the server was asked."""
+        """Whether its caller has sent nothing since the last flow probe."""
         return self.asked_at is not None and self.last_at <= self.asked_at
 
     def note_shown(self, segment: Segment, now: float) -> None:
-        """Takes account of what a server's packet shows of the flow.
+        """Records what a packet from the server shows about the flow.
 
-        Another acceptance begins a new flow between the same addresses, which
-        its caller may open elsewhere.
+        An acceptance with another sequence number starts a new flow between the
+        same addresses, which its caller may open at another server.
         """
         if not segment.accepts:
             self.shown_at = now
@@ -169,43 +177,43 @@
         """Tells whether a caller's packet shows that it chose this server."""
         if self.server_seq is None:
             return False
-        return is_within(segment.ack, self.server_seq, ANSWER_WINDOW)
+        return is_within(segment.ack, self.server_seq, ACK_WINDOW_BYTES)
 
     def is_new(self, segment: Segment) -> bool:
-        """Tells whether a caller's data was not seen before."""
+        """Tells whether a packet has data of the caller not seen before."""
         end = segment.seq + segment.size
         return self.request_end is None or is_after(end, self.request_end)
 
     def is_copy(self, segment: Segment, now: float) -> bool:
-        """Tells whether a caller sends data again.
+        """Tells whether a packet is a retransmission of the caller's data.
 
         Args:
             segment: A packet with data.
             now: Runtime clock, seconds.
         """
-        overtaken = now - self.request_at < COPY_AFTER_S
-        return not overtaken and not self.is_new(segment)
+        reordered = now - self.request_at < RETRANSMISSION_MIN_S
+        return not reordered and not self.is_new(segment)
 
     def note_request(self, segment: Segment, now: float) -> None:
-        """Takes account of data from the caller that is new."""
+        """Records new data from the caller."""
         self.request_end = (segment.seq + segment.size) % SEQUENCE_MODULUS
         self.request_at = now
         if self.running_since is None:
             self.running_since = now
 
     def note_received(self, segment: Segment) -> None:
-        """Takes account of what the server says it has received.
+        """Records which data the server acknowledges.
 
-        An agent that has restarted learns by it which data is a copy.
+        A restarted agent learns by it which data is a retransmission.
         """
         if self.request_end is None or is_after(segment.ack, self.request_end):
             self.request_end = segment.ack
 
     def note_answer(self, now: float) -> float | None:
-        """Takes account of data from the server.
+        """Records data from the server.
 
         Returns:
-            The service time where this ends a request, seconds, else None.
+            The service time if this answers a request, seconds, else None.
         """
         if self.running_since is None:
             return None
--- a/notchhoist/flows/model/mechanisms.py
+++ b/notchhoist/flows/model/mechanisms.py
@@ -1,7 +1,7 @@
-"""Switches: each mechanism can be put out of use, to see what it is worth.
+"""Switches that disable single mechanisms, to measure what each is worth.
 
-All are in use unless the settings say otherwise. ``benchmarks/ablate.py`` plays
-days with one of them out of use after the other.
+All mechanisms are enabled unless the settings disable them.
+``benchmarks/ablate.py`` plays days with one mechanism after the other disabled.
 """
 
 from collections.abc import Iterable
@@ -11,39 +11,49 @@
 
 
 class Mechanisms(Struct, frozen=True):
-    """Which mechanisms are in use.
+    """Which mechanisms are enabled.
 
     Attributes:
-        load: New flows go by load; else by chance.
-        own_offers: A balancer's own offers count before agents tell of them.
-        zone: Servers of the own zone are preferred.
-        uploads_near: Uploads leave their zone only in need.
-        pace: Servers that are slow count as smaller.
-        failing: Servers that fail behind a good health check count as slower.
-        early: Packets that come before routes are known are kept.
-        kept_wish: Flows that were searched for keep what their requests wish.
-        confirming: The platform confirms the list before a lost flow is reset.
-        isolation: A balancer that hears nobody is not ready.
-        few_readers: A few balancers read the store for all.
-        narrow_patience: On a narrow link agents may be silent for longer.
-        holding: Requests wait beside the server for a slot.
-        order: What can be on time goes first; else the order of arrival.
-        late_first: Late requests that would be lost go first.
-        load_of_new: They don't where new requests fill the server.
-        priority: Among those on time, a higher priority goes first.
-        at_once: Requests that wait in vain are refused at once.
-        doubt: Callers that may be on a second try are served in time for it.
+        load: New flows are placed by load; otherwise at random.
+        own_offers: A balancer counts its own offers before agents report them.
+        zone: Servers of the local zone are preferred.
+        uploads_near: Uploads leave the local zone only if necessary.
+        pace: Servers with a long service time count as smaller.
+        failing: Servers that fail requests while their health check passes
+            count as slower.
+        early: Packets that arrive before routes are known are kept.
+        kept_wish: Flows that were searched for keep their request hints.
+        confirming: The platform confirms the server list before a flow that was
+            not found is reset.
+        isolation: A balancer that receives nothing from others is not ready.
+        few_readers: A few balancers read the store on behalf of all.
+        narrow_patience: Over a low-bandwidth link, agents may be silent for
+            longer.
+        holding: Requests queue at the agent for a slot of the server.
+        order: Requests that can be answered on time go first; otherwise the
+            order of arrival applies.
+        late_first: Late requests that would otherwise be lost go first.
+        load_of_new: ``late_first`` applies only as far as new requests leave
+            capacity of the server unused.
+        priority: Among requests that can be on time, a higher priority goes
+            first.
+        at_once: Requests that cannot be served in time are refused at once.
+        doubt: Callers that may be on a retry are served within its earlier
+            deadline.
         leavers: Callers that close their flow no longer wait.
-        opening_wish: Agents keep what the opening packet said.
+        opening_wish: Agents keep the request hints of the opening packet.
         expected: Flows that were just offered count as requests.
-        anew: Agents that started with a whole service know all its flows.
+        anew: After a cold restart of a whole service, its agents know all of
+            its flows.
         if_free: New flows are first offered to servers with a free slot.
-        splits: Where routes split, flows are searched for at all services.
-        resting: Flows that rest are reset when their server is gone; also, a
-            list of servers that has once settled stays so for searches.
-        distances: Offers reckon with the measured distance between zones, and
-            no flow is offered twice while its first offer may be answered.
-        pieces: Balancers tell each other large views compressed, in pieces.
+        splits: Where a route names several services, flows are searched for at
+            all of them.
+        resting: Idle flows are reset when their server has exited. Also, once a
+            server list is stable, it stays stable for searches.
+        distances: Offers take the measured network distance between zones into
+            account, and no flow is offered again while an answer to its first
+            offer may still arrive.
+        pieces: Balancers send each other large views compressed, in pieces.
     """
 
     load: bool = True
@@ -76,7 +86,7 @@
     pieces: bool = True
 
     def without(self, names: Iterable[str]) -> "Mechanisms":
-        """Returns the same with some out of use; names must be known.
+        """Returns a copy with some mechanisms disabled; the names must exist.
 
         Examples:
             >>> Mechanisms().without(["early"]).early
--- a/notchhoist/flows/model/messages.py
+++ b/notchhoist/flows/model/messages.py
@@ -6,18 +6,19 @@
 
 
 class ServerState(Struct, frozen=True):
-    """What the platform publishes of one backend server, for its agent.
+    """Published state of one backend server, sent to its agent.
 
     Attributes:
-        revision: The newest change among these facts; above 0.
+        revision: Revision of the newest change of this state; above 0.
         born_ms: See ``ServerEntry``.
-        evacuated: Its availability zone is to get no new flows.
-        evacuated_for_s: Since when at least, seconds ago.
-        cold_for_s: How long it stays cold, seconds; 0 where it is warm.
-        bound_per_s: New flows that it bears in a second while it is cold; 0 for
-            no bound.
-        bound_lasts_s: How long it is cold after a start, seconds.
-        draining: It has announced that it leaves.
+        evacuated: Its availability zone gets no new flows.
+        evacuated_for_s: For how long at least, seconds.
+        cold_for_s: How long its slow start still lasts, seconds; 0 if it is
+            over.
+        bound_per_s: Cold bound: new flows per second that it accepts in slow
+            start; 0 for no bound.
+        bound_lasts_s: How long slow start lasts after a start, seconds.
+        draining: It has announced that it drains.
     """
 
     revision: int
@@ -31,12 +32,12 @@
 
 
 class LoadAsk(Struct, frozen=True):
-    """Asks an agent for its load; any answer shows that it is alive.
+    """Query for an agent's load; any reply shows that the agent is alive.
 
     Attributes:
-        slots: Requests that its backend server works on at once, as published;
-            0 if unknown.
-        state: What else is published of it, or None where that is unknown.
+        slots: Requests that its backend server processes concurrently, as
+            published; 0 if unknown.
+        state: Other published state of the server, or None if unknown.
     """
 
     slots: int = 0
@@ -44,15 +45,15 @@
 
 
 class LoadTell(Struct, frozen=True):
-    """An agent's load.
+    """Report of an agent's load.
 
     Attributes:
         flows: Open flows at its backend server.
-        running: Requests that have not been answered.
+        running: Requests that are not answered yet.
         pace_ms: Smoothed service time, ms; 0 if unknown.
-        stopping: The agent is about to stop and to be started again.
-        state_revision: Revision of the newest ``ServerState`` that it has; 0
-            for none.
+        stopping: The agent is about to stop and will be started again.
+        state_revision: Revision of the newest ``ServerState`` that the agent
+            has; 0 for none.
     """
 
     flows: int
@@ -63,14 +64,14 @@
 
 
 class FlowsAsk(Struct, frozen=True):
-    """Asks an agent which of some flows are at its backend server.
+    """Query to an agent which of some flows are at its backend server.
 
     Attributes:
-        number: Number of the question, above 0.
+        number: Number of the query, above 0.
         tag: Tag of the service that the flows belong to.
-        heads: Heads of packets of the flows.
-        samples: Packets of flows that it was unsure of; it hands them to its
-            backend server to find out.
+        heads: Headers of packets of the flows.
+        samples: Sample packets of flows that the agent was unsure of; it hands
+            them to its backend server to learn whether the flows are there.
     """
 
     number: int
@@ -80,17 +81,17 @@
 
 
 class FlowsTell(Struct, frozen=True):
-    """An agent's answer to ``FlowsAsk``, with its load.
+    """An agent's reply to ``FlowsAsk``, with its load.
 
     Attributes:
-        number: Number of the question; 0 for the outcome of samples.
-        present: Keys of the flows that are there.
-        absent: Keys of those that are not.
-        unsure: Keys of those that it cannot tell of.
+        number: Number of the query; 0 for the result of sample packets.
+        present: Keys of the flows that are at the backend server.
+        absent: Keys of the flows that are not.
+        unsure: Keys of the flows that the agent does not know about.
         flows: See ``LoadTell``.
         running: See ``LoadTell``.
         pace_ms: See ``LoadTell``.
-        age_ms: For how long an agent that is unsure has run, ms; 0 if not told.
+        age_ms: Uptime of an unsure agent, ms; 0 if not reported.
     """
 
     number: int
@@ -104,13 +105,13 @@
 
 
 class Member(Struct, frozen=True):
-    """A balancer.
+    """A balancer in the membership that balancers exchange.
 
     Attributes:
-        host: IP number of its host.
-        link_mbps: What its host's link carries, Mbit/s.
-        age_ms: Time since it was heard, ms. Without it two balancers would
-            keep a dead one alive by telling each other of it.
+        host: IP address of its host.
+        link_mbps: Bandwidth of its host's link, Mbit/s.
+        age_ms: Time since it was last heard, ms. Without it, two balancers
+            would keep a dead one listed by reporting it to each other.
         unserved: The platform's store has not answered its last call.
     """
 
@@ -121,13 +122,13 @@
 
 
 class ViewAsk(Struct, frozen=True):
-    """Asks another balancer for what the platform has published.
+    """Query to another balancer for changes of the published state.
 
     Attributes:
-        revision: Everything up to this revision is known.
-        link_mbps: What the asker's link carries, Mbit/s.
-        number: Number of the question, above 0.
-        reads_pieces: The asker understands ``ViewPiece``.
+        revision: The sender knows everything up to this revision.
+        link_mbps: Bandwidth of the sender's link, Mbit/s.
+        number: Number of the query, above 0.
+        reads_pieces: The sender understands ``ViewPiece``.
         unserved: See ``Member``.
     """
 
@@ -139,20 +140,21 @@
 
 
 class ViewTell(Struct, frozen=True):
-    """What a balancer knows of what the platform has published.
+    """Update with changes of the published state that a balancer knows.
 
     Attributes:
-        change: What changed after the asker's revision, or a part of it.
+        change: What changed after the receiver's revision, or a part of it.
         age_s: Time since the platform confirmed it, seconds.
-        members: Balancers that were heard lately, the sender too.
+        members: Balancers that were heard recently, including the sender.
         part: Number of this part, from 0.
-        parts: How many parts there are.
-        asked: Number of the newest question that its sender had had from the
+        parts: Total number of parts.
+        asked: Number of the newest query that the sender has received from the
             receiver; 0 for none.
-        placing_for_ms: For how long at least flows may have been placed by any
-            balancer that the sender knows of, ms; 0 if not told.
-        rerouted_for_ms: How long ago a route last named a service that it no
-            longer names, or any route several, ms; 0 if not lately.
+        placing_for_ms: For how long at least any balancer that the sender knows
+            of may have placed flows, ms; 0 if not reported.
+        rerouted_for_ms: Time since a route last named a service that it no
+            longer names, or since any route last named several services, ms; 0
+            if not recently.
     """
 
     change: ViewChange
@@ -166,16 +168,16 @@
 
 
 class ViewPiece(Struct, frozen=True):
-    """A piece of a change that was compressed for several receivers at once.
+    """Piece of a change that is compressed once for several receivers.
 
     Attributes:
         revision: See ``ViewChange``.
         base: See ``ViewChange``.
         age_s: See ``ViewTell``.
-        members: See ``ViewTell``; in the first piece only.
+        members: See ``ViewTell``; only in the first piece.
         part: Number of this piece, from 0.
-        parts: How many pieces there are.
-        data: The piece.
+        parts: Total number of pieces.
+        data: Bytes of the compressed change.
         asked: See ``ViewTell``.
         placing_for_ms: See ``ViewTell``.
         rerouted_for_ms: See ``ViewTell``.
--- a/notchhoist/flows/model/notes.py
+++ b/notchhoist/flows/model/notes.py
@@ -1,9 +1,9 @@
-"""What balancer and agent tell each other inside a packet.
+"""Notes: the data that balancers and agents exchange inside packets.
 
-A packet has five bytes for the system's own use, which its checksum leaves out.
-Bits 28 to 31 say what the note means, the lower ones depend on the direction.
-Bits 32 to 39 say to an agent how long the caller still waits, and whether it
-may have tried before.
+A packet has five bytes that are reserved for the load balancer and not covered
+by its checksum. Bits 28 to 31 are the kind of the note; the meaning of the
+lower bits depends on the direction. In notes for agents, bits 32 to 39 are the
+time that the caller still waits and whether this may be its retry.
 """
 
 import enum
@@ -22,9 +22,9 @@
 _FLOWS_MAX = 0xFFF
 _BYTE_MAX = 0xFF
 _TAG_MASK = 0xFFFF
-_HINT_SHIFT = 16
-_LEFT_SHIFT = 32
-_DOUBT_SHIFT = 39
+_HINTS_SHIFT = 16
+_REMAINING_SHIFT = 32
+_RETRY_SHIFT = 39
 _SIX_BITS = 0x3F
 _SEVEN_BITS = 0x7F
 _THREE_BITS = 0x7
@@ -32,47 +32,49 @@
 NO_WISH = Wish()
 
 OBJECTIVE_STEP_S = 0.025
-"""Resolution of a latency objective in a note, seconds; 63 steps are 1.6 s,
-and a request with a longer objective is never in a hurry."""
+"""Resolution of a latency objective in a note, seconds. The maximum of 63 steps
+is 1.6 s; requests with a longer objective are never urgent."""
 
-AGE_STEP_S = 0.1
-"""Resolution of a caller's waiting time in a note; 7 steps are 0.7 s, and the
-last copy of an opening packet comes after 0.6 s."""
-PACE_STEP_MS = 8
-"""Resolution of a reported service time, ms; 255 steps reach 2 s."""
+WAITED_STEP_S = 0.1
+"""Resolution of a caller's waiting time in a note, seconds. The maximum of 7
+steps is 0.7 s; the last retransmission of an opening packet comes at 0.6 s."""
+SERVICE_TIME_STEP_MS = 8
+"""Resolution of the service time in a note, ms; 255 steps are 2 s."""
 
 
-EPSILON = 1e-6
-"""Guards times of whole steps against being rounded down to the step below."""
+ROUNDING_EPSILON = 1e-6
+"""Keeps times that are whole steps from being rounded down by one step."""
 
-LEFT_STEP_S = 0.1
-"""Resolution of the time that a caller still waits, seconds; 127 steps are
-12.7 s, and whoever waits for longer is nobody's first worry."""
+REMAINING_STEP_S = 0.1
+"""Resolution of the time that a caller still waits, seconds. The maximum of 127
+steps is 12.7 s; callers that wait longer are never urgent."""
 
 
 class NoteKind(enum.IntEnum):
-    """Meaning of a note.
+    """Kind of a note.
 
     Attributes:
         NONE: The packet comes from a caller.
-        PLACE: To an agent: a new flow for this backend server.
-        HELD: To an agent: a packet of a flow that is believed to be there.
-        TRY: To an agent: the same, but nobody is sure.
-        ASK: To an agent, head only: is this flow at your backend server?
-        ABSENT: Answer to ``ASK``: it is not.
-        PRESENT: Answer to ``ASK``: it is.
-        UNSURE: Answer to ``ASK``: started too recently to tell.
-        TAKEN: From an agent, head only: its backend server accepted.
-        REFUSED: From an agent: the opening packet comes back, nothing ran.
-        RETURNED: From an agent: the packet comes back, the flow is not here.
-        FULL: From an agent: the opening packet comes back, nothing ran, and the
-            server is to get no new flow for the pause told instead of a pace.
-        PLACE_BOUNDED: As ``PLACE``, for a server that bears only so much while
-            it is cold; an agent that knows no more waits for word of it.
-        PLACE_IF_FREE: As ``PLACE``, but only if a slot is free for it. An agent
-            of a version that does not know this takes it for ``PLACE``.
-        BUSY: Answer to ``PLACE_IF_FREE``: the opening packet comes back, every
-            slot is taken, and nothing ran.
+        PLACE: To an agent: a new flow for its backend server.
+        HELD: To an agent: a packet of a flow that should be at its backend
+            server.
+        TRY: To an agent: a packet of a flow that may be at its backend server.
+        ASK: To an agent, header only: is this flow at your backend server?
+        ABSENT: Reply to ``ASK``: the flow is not there.
+        PRESENT: Reply to ``ASK``: the flow is there.
+        UNSURE: Reply to ``ASK``: the agent started too recently to know.
+        TAKEN: From an agent, header only: its backend server accepted the flow.
+        REFUSED: From an agent: the opening packet is returned; nothing ran.
+        RETURNED: From an agent: the packet is returned; its flow is not here.
+        FULL: From an agent: the opening packet is returned; nothing ran. The
+            server must get no new flow for a pause, which the note carries in
+            place of the service time.
+        PLACE_BOUNDED: As ``PLACE``, for a server with a cold bound; an agent
+            that does not know the bound yet waits until it is reported.
+        PLACE_IF_FREE: As ``PLACE``, but only if a slot is free for the flow. An
+            agent of a version without this kind treats it as ``PLACE``.
+        BUSY: Reply to ``PLACE_IF_FREE``: the opening packet is returned, since
+            every slot is taken; nothing ran.
     """
 
     NONE = 0
@@ -96,11 +98,11 @@
 
 
 class Load(Struct, frozen=True):
-    """How busy a backend server is, as its agent counts it.
+    """Load of a backend server as counted by its agent.
 
     Attributes:
         flows: Open flows.
-        running: Requests that have not been answered.
+        running: Requests that are not answered yet.
         pace_ms: Smoothed time from request to answer, ms; 0 if unknown.
     """
 
@@ -110,10 +112,10 @@
 
 
 def service_tag(service: str) -> int:
-    """Returns 16 bits that stand for a service's name.
+    """Returns a 16-bit hash of a service's name.
 
-    An agent that shares an address with an earlier server of another service
-    tells by them that a packet is not for it.
+    If a host was used by another service before, the agent there recognizes by
+    the tag that a packet is not meant for its own service.
 
     Examples:
         >>> service_tag("hallbook") == service_tag("scoredrop")
@@ -123,37 +125,46 @@
 
 
 def to_agent(kind: NoteKind, tag: int, wish: Wish = NO_WISH) -> int:
-    """Returns a note for an agent of the service with a tag.
+    """Returns a note for an agent of the service that has a tag.
 
     Examples:
-        >>> wish = Wish(objective_s=0.225, age_s=0.2, priority=1, left_s=2.3)
-        >>> wish_of(to_agent(NoteKind.HELD, 7, wish)) == wish
+        >>> hints = Wish(objective_s=0.225, age_s=0.2, priority=1, left_s=2.3)
+        >>> wish_of(to_agent(NoteKind.HELD, 7, hints)) == hints
         True
     """
     objective = min(round(wish.objective_s / OBJECTIVE_STEP_S), _SIX_BITS)
-    age = min(round(wish.age_s / AGE_STEP_S), _THREE_BITS)
+    waited = min(round(wish.age_s / WAITED_STEP_S), _THREE_BITS)
     priority = min(wish.priority, _TWO_BITS)
-    left = min(int(wish.left_s / LEFT_STEP_S + EPSILON), _SEVEN_BITS)
-    left |= wish.may_be_retry << (_DOUBT_SHIFT - _LEFT_SHIFT)
-    hint = objective << 6 | age << 3 | priority << 1 | wish.upload
-    return left << _LEFT_SHIFT | kind << _KIND_SHIFT | hint << _HINT_SHIFT | tag
+    remaining = min(
+        int(wish.left_s / REMAINING_STEP_S + ROUNDING_EPSILON), _SEVEN_BITS
+    )
+    remaining |= wish.may_be_retry << (_RETRY_SHIFT - _REMAINING_SHIFT)
+    packed = objective << 6 | waited << 3 | priority << 1 | wish.upload
+    return (
+        remaining << _REMAINING_SHIFT
+        | kind << _KIND_SHIFT
+        | packed << _HINTS_SHIFT
+        | tag
+    )
 
 
 def wish_of(note: int) -> Wish:
-    """Returns what a note for an agent says of a flow's requests."""
-    hint = note >> _HINT_SHIFT
+    """Returns the request hints in a note for an agent."""
+    packed = note >> _HINTS_SHIFT
     return Wish(
-        objective_s=round((hint >> 6 & _SIX_BITS) * OBJECTIVE_STEP_S, 3),
-        age_s=round((hint >> 3 & _THREE_BITS) * AGE_STEP_S, 3),
-        priority=hint >> 1 & _TWO_BITS,
-        upload=bool(hint & 1),
-        left_s=round((note >> _LEFT_SHIFT & _SEVEN_BITS) * LEFT_STEP_S, 3),
-        may_be_retry=bool(note >> _DOUBT_SHIFT & 1),
+        objective_s=round((packed >> 6 & _SIX_BITS) * OBJECTIVE_STEP_S, 3),
+        age_s=round((packed >> 3 & _THREE_BITS) * WAITED_STEP_S, 3),
+        priority=packed >> 1 & _TWO_BITS,
+        upload=bool(packed & 1),
+        left_s=round(
+            (note >> _REMAINING_SHIFT & _SEVEN_BITS) * REMAINING_STEP_S, 3
+        ),
+        may_be_retry=bool(note >> _RETRY_SHIFT & 1),
     )
 
 
 def to_balancer(kind: NoteKind, load: Load) -> int:
-    """Returns a note for a balancer that also tells a load.
+    """Returns a note for a balancer that also reports the load.
 
     Examples:
         >>> note = to_balancer(NoteKind.TAKEN, Load(40, 3, 64))
@@ -164,19 +175,19 @@
         kind << _KIND_SHIFT
         | min(load.flows, _FLOWS_MAX) << _FLOWS_SHIFT
         | min(load.running, _BYTE_MAX) << _RUNNING_SHIFT
-        | min(load.pace_ms // PACE_STEP_MS, _BYTE_MAX)
+        | min(load.pace_ms // SERVICE_TIME_STEP_MS, _BYTE_MAX)
     )
 
 
 def full(load: Load, pause_s: float) -> int:
-    """Returns the note of an opening packet that a server cannot bear now.
+    """Returns the note of an opening packet that exceeds the cold bound.
 
     Examples:
         >>> pause_of(full(Load(40, 3, 64), 0.25))
         0.256
     """
-    steps = math.ceil(pause_s * 1000 / PACE_STEP_MS)
-    pause = min(steps, _BYTE_MAX) * PACE_STEP_MS
+    steps = math.ceil(pause_s * 1000 / SERVICE_TIME_STEP_MS)
+    pause = min(steps, _BYTE_MAX) * SERVICE_TIME_STEP_MS
     return to_balancer(NoteKind.FULL, Load(load.flows, load.running, pause))
 
 
@@ -186,7 +197,7 @@
 
 
 def kind_of(note: int) -> NoteKind:
-    """Returns the meaning of a note; ``NONE`` for one of no known kind."""
+    """Returns the kind of a note; ``NONE`` for an unknown kind."""
     index = note >> _KIND_SHIFT & _KIND_MASK
     return _KINDS[index] if index < len(_KINDS) else NoteKind.NONE
 
@@ -201,5 +212,5 @@
     return Load(
         note >> _FLOWS_SHIFT & _FLOWS_MAX,
         note >> _RUNNING_SHIFT & _BYTE_MAX,
-        (note & _BYTE_MAX) * PACE_STEP_MS,
+        (note & _BYTE_MAX) * SERVICE_TIME_STEP_MS,
     )
--- a/notchhoist/flows/model/records.py
+++ b/notchhoist/flows/model/records.py
@@ -1,4 +1,4 @@
-"""What a node keeps for its operators: counters, latencies and decisions."""
+"""Counters, latencies and decisions that a node keeps for its operators."""
 
 import collections
 import enum
@@ -9,25 +9,25 @@
     ["reset", "refuse", "turn away", "give up finding", "leave to others"]
 )
 FOLLOWED = frozenset(["place", "find", "release", "give back"])
-"""Decisions on a caller's flow that cost it nothing."""
+"""Events of decisions on a caller's flow that cost the caller nothing."""
 
-REASONED_KEPT = 200
-"""Decisions that cost a caller something are kept for questions: the last few
-seconds of a bad moment."""
+COSTLY_KEPT = 200
+"""Most decisions that cost a caller something kept for queries by operators:
+those of the last few seconds of an incident."""
 
 SERIES_MAX = 2000
-"""Histograms of one process; 430 services with four outcomes fit in."""
+"""Most histograms of a process: enough for 430 services with 4 outcomes."""
 
 DECISIONS_KEPT = 1000
-"""Decisions that wait for the log at the most."""
+"""Most decisions that wait to be logged."""
 
 
 BUCKETS_S = (
     *(0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0),
     float("inf"),
 )
-"""Bounds of the latency histogram, seconds: from a round trip within a zone to
-the longest deadline."""
+"""Upper bounds of the latency buckets, seconds: from a round-trip time within a
+zone to the longest deadline."""
 
 
 class Count(enum.StrEnum):
@@ -88,15 +88,16 @@
 
 
 class Timing(enum.StrEnum):
-    """What is timed; each has a histogram by service and outcome.
+    """Durations that are measured, each with histograms by service and outcome.
 
     Attributes:
         OPENING: From offering a new flow to its acceptance.
-        FINDING: From the first question for an unknown flow to the outcome.
+        FINDING: From the first query for an unknown flow to the outcome.
         SERVICE: From a request to its answer, at the agent.
         WAITING: How long a request waited for a slot.
         STORE: A call to the platform's store.
-        FORWARDING: What one packet takes here; a sample.
+        FORWARDING: Processing time of a packet in this process; only some
+            packets are measured.
     """
 
     OPENING = "opening"
@@ -109,10 +110,10 @@
 
 
 class Series(Struct, frozen=True):
-    """What one histogram holds.
+    """Key of a histogram.
 
     Attributes:
-        timing: What is timed.
+        timing: Duration that is measured.
         service: Name of the service, or empty.
         outcome: How it ended.
     """
@@ -123,31 +124,31 @@
 
 
 class Histogram(Struct, eq=False):
-    """Latencies by the bounds in ``BUCKETS_S``.
+    """Histogram of latencies with the buckets of ``BUCKETS_S``.
 
     Attributes:
-        counts: How many there were, by bucket.
-        total_s: Their sum, seconds.
+        counts: Number of latencies by the upper bound of their bucket.
+        total_s: Sum of the latencies, seconds.
     """
 
     counts: dict[float, int] = field(default_factory=dict)
     total_s: float = 0.0
 
     def add(self, latency_s: float) -> None:
-        """Counts a latency."""
+        """Adds a latency."""
         bound = next(bound for bound in BUCKETS_S if latency_s <= bound)
         self.counts[bound] = self.counts.get(bound, 0) + 1
         self.total_s += latency_s
 
 
 class Decision(Struct, frozen=True):
-    """One decision, for the log.
+    """A decision for the log.
 
     Attributes:
         event: What was decided.
-        flow: The flow that it touches, or empty.
-        inputs: What decided it, with ages or versions.
-        outcome: What came of it.
+        flow: Key of the flow that it affects, or empty.
+        inputs: Values that it is based on, with their ages or versions.
+        outcome: Its result or reason.
     """
 
     event: str
@@ -157,12 +158,12 @@
 
 
 class Records(Struct, eq=False):
-    """What both roles keep for their operators.
+    """Counters, histograms and decisions of a node, for its operators.
 
     Attributes:
-        counters: Counts since the start.
-        decisions: Decisions that the log has not taken yet.
-        histograms: Latencies by what was timed.
+        counters: Counts since the start of the process.
+        decisions: Decisions that are not logged yet.
+        histograms: Histograms by duration, service and outcome.
         reasoned: The last decisions that cost a caller something.
     """
 
@@ -174,13 +175,13 @@
     )
     histograms: dict[Series, Histogram] = field(default_factory=dict)
     reasoned: collections.deque[Decision] = field(
-        default_factory=lambda: collections.deque(maxlen=REASONED_KEPT)
+        default_factory=lambda: collections.deque(maxlen=COSTLY_KEPT)
     )
 
     def observe(
         self, timing: Timing, service: str, outcome: str, latency_s: float
     ) -> None:
-        """Counts a latency; past ``SERIES_MAX`` histograms it is dropped."""
+        """Adds a latency; drops it if that takes over ``SERIES_MAX`` series."""
         series = Series(timing, service, outcome)
         histogram = self.histograms.get(series)
         if histogram is None:
@@ -193,7 +194,7 @@
     def decide(
         self, event: str, flow: bytes, outcome: str, **inputs: object
     ) -> None:
-        """Notes a decision; past ``DECISIONS_KEPT`` it is only counted."""
+        """Queues a decision; only counts it past ``DECISIONS_KEPT``."""
         decision = Decision(event, flow, inputs, outcome)
         if event in REASONED:
             self.reasoned.append(decision)
--- a/notchhoist/flows/model/revisions.py
+++ b/notchhoist/flows/model/revisions.py
@@ -1,18 +1,19 @@
-"""Revisions of what the platform publishes, ordered over its restores.
-
-The platform counts its changes, and each count is a revision. When its store
-comes back from a copy, counts are given out again, to other changes: what was
-known at 63 and what 63 tells now have nothing to do with each other. So a
-revision here is a count within an era, and any revision of a later era is after
-all of an earlier one. Compared by their counts alone, what the platform wrote
-after a restore looked old, and two leaving servers kept getting new flows.
-
-A revision is one whole number, so that it can be compared, logged and kept as
-such; in decimal its last fifteen digits are the count.
+"""Revisions of the published state that stay ordered across store restores.
+
+The platform numbers its changes with a counter. When its store is restored from
+a backup, the counter goes back, and the same count then stands for another
+change: the state at count 63 before the restore and the state at 63 after it
+are unrelated. A revision here is therefore a count within an era, and each
+revision of a later era follows all revisions of an earlier one. If revisions
+were compared by their counts alone, changes written after a restore would look
+old: two draining servers kept getting new flows because of this.
+
+A revision is one integer, so it can be compared, logged and stored as a number.
+In decimal, its last fifteen digits are the count.
 """
 
 COUNTS_AN_ERA = 10**15
-"""More than a million changes a second make in thirty years."""
+"""Counts reserved for an era: a million changes a second for thirty years."""
 
 
 def make_revision(era: int, count: int) -> int:
@@ -26,12 +27,12 @@
 
 
 def era_of(revision: int) -> int:
-    """Returns the era that a revision is of."""
+    """Returns the era of a revision."""
     return revision // COUNTS_AN_ERA
 
 
 def count_of(revision: int) -> int:
-    """Returns the platform's own count of a revision.
+    """Returns the platform's own count within a revision.
 
     Examples:
         >>> count_of(make_revision(2, 57))
--- a/notchhoist/flows/model/segments.py
+++ b/notchhoist/flows/model/segments.py
@@ -1,32 +1,32 @@
-"""A packet of a flow as the decisions see it."""
+"""A decoded packet of a flow, and the interface of the packet codec."""
 
 from typing import Protocol
 
 from msgspec import Struct
 
 SEQUENCE_MODULUS = 1 << 32
-"""Sequence numbers wrap here; from the width of the field on the wire."""
+"""Sequence numbers wrap at this value: the field on the wire has 32 bits."""
 
 
 class Segment(Struct, eq=False):
-    """One packet, decoded.
+    """A decoded packet.
 
     Attributes:
         flow: Opaque key of the flow; the same for both directions.
         service_key: Opaque key of the service address that the caller uses.
-        caller: IP number of the caller.
-        opens: It asks to open the flow.
-        accepts: A backend server accepts the opening.
+        caller: IP address of the caller.
+        opens: It requests to open the flow.
+        accepts: A backend server accepts the flow with it.
         closes: Its sender will send no more data.
         resets: It ends the flow at once.
-        returned: A backend server gives it back.
-        size: Bytes of data in it.
+        returned: A backend server returns it undelivered.
+        size: Payload size, bytes.
         seq: Sequence number.
         ack: Next sequence number expected from the other end.
-        waited_s: For an opening packet, how long its sender has been sending
-            copies of it, seconds.
-        note: What another process of ours wrote into it; 0 for nothing.
-        raw: The packet as it came.
+        waited_s: For an opening packet, time since its sender first sent it,
+            seconds.
+        note: Note that a balancer or an agent wrote into it; 0 for none.
+        raw: The packet as received.
     """
 
     flow: bytes
@@ -45,39 +45,39 @@
     raw: bytes
 
     def repeats(self, other: "Segment") -> bool:
-        """Tells whether this is a copy of another packet of the flow."""
+        """Tells whether this packet retransmits another packet of the flow."""
         return (self.seq, self.size) == (other.seq, other.size)
 
 
 class SegmentCodec(Protocol):
-    """What turns packets into segments and back."""
+    """Decodes packets into segments and encodes them again."""
 
     def decode_request(self, raw: bytes) -> Segment:
-        """Decodes a packet that travels from a caller.
+        """Decodes a packet on its way from a caller to a backend server.
 
         Raises:
             CodecError: The bytes are no packet.
         """
 
     def decode_answer(self, raw: bytes) -> Segment:
-        """Decodes a packet that a backend server sent or gave back.
+        """Decodes a packet that a backend server sent or returned undelivered.
 
         Raises:
             CodecError: The bytes are no packet.
         """
 
     def with_note(self, segment: Segment, note: int) -> bytes:
-        """Returns the packet with another note, ready for any server."""
+        """Returns the packet with another note; it can go to any server."""
 
     def head_with_note(self, segment: Segment, note: int) -> bytes:
-        """Returns the packet's head alone with another note."""
+        """Returns only the packet's header, with another note."""
 
     def make_reset(self, segment: Segment) -> bytes:
         """Returns a reset for the caller that sent a segment."""
 
 
 def is_after(seq: int, other: int) -> bool:
-    """Tells whether a sequence number comes after another one.
+    """Tells whether a sequence number follows another one, modulo wrapping.
 
     Examples:
         >>> is_after(5, 3), is_after(3, 5), is_after(2, SEQUENCE_MODULUS - 1)
--- a/notchhoist/flows/model/tests/test_digests.py
+++ b/notchhoist/flows/model/tests/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests: equal for equal routes only."""
+"""Digests of routes: equal routes have equal digests, others differ."""
 
 from msgspec.structs import replace
 
@@ -24,7 +24,7 @@
     assert len(digests) == 1 + len(others)
 
 
-def test_a_route_that_was_told_has_the_digest_of_the_one_that_was_read():
+def test_route_has_the_same_digest_after_encoding():
     whole = replace(ROUTE, objective_ms=200, timeout_ms=3000)
     tell = ViewTell(ViewChange(2, version=2, routes=(whole,)), 0.0, ())
     [told] = decode_message(encode_message(tell)).change.routes
--- a/notchhoist/flows/model/tests/test_mechanisms.py
+++ b/notchhoist/flows/model/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism can be put out of use, and the rest goes on."""
+"""Requests are served with any single mechanism disabled."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("name", mechanisms.NAMES)
-def test_requests_are_served_without(name):
+def test_requests_are_served_without_mechanism(name):
     uses = mechanisms.ALL.without([name])
     balancer = make_balancer("a", CODEC, "seed", uses=uses)
     balancer.fleet.tables.on_table(crafting.table(), 1)
--- a/notchhoist/flows/model/view.py
+++ b/notchhoist/flows/model/view.py
@@ -1,4 +1,4 @@
-"""What the platform publishes, by revision, so that differences can travel."""
+"""The published state by revision, so that only changes need to be sent."""
 
 from collections.abc import Mapping
 
@@ -13,12 +13,12 @@
 )
 from notchhoist.flows.model.revisions import era_of
 
-REMOVED_KEPT = 1000
-"""Removals remembered at the most; who is further behind is told everything."""
+REMOVALS_KEPT = 1000
+"""Most removals kept; processes that are further behind get the whole view."""
 
 
 class ZoneKey(Struct, frozen=True):
-    """Names an availability zone among the things that change."""
+    """Key of an availability zone among the keys of a view."""
 
     zone: str
 
@@ -28,25 +28,25 @@
 
 
 class ViewChange(Struct, frozen=True):
-    """What changed between two revisions, as whole records.
+    """Changes between two revisions, as whole records.
 
     Attributes:
-        revision: Revision that the receiver reaches.
-        base: Revision that it must have; 0 for a whole view.
-        version: Version of the configuration, or 0 where it did not change.
-        idle_s: A flow may be forgotten after this much silence, seconds.
+        revision: Revision of the receiver after the change.
+        base: Revision that the receiver must have before; 0 for a whole view.
+        version: Version of the configuration, or 0 if it did not change.
+        idle_s: Idle time after which a flow may be dropped, seconds.
         routes: Routes that changed.
-        removed_routes: Keys of routes that were dropped.
-        servers: Entries that changed, with the revision of each.
-        removed_servers: Ids of servers whose entries vanished.
-        routes_total: Routes that the receiver has then.
-        servers_total: Entries that it has then.
-        cold_bounds: Bounds of cold servers, with a new version.
-        evacuated: Zones whose evacuation was asked for, with the revision.
-        returned: Zones whose evacuation was withdrawn, likewise.
-        evacuated_total: Evacuated zones that it has then.
-        routes_digest: Digest of the routes that it has then; None where the
-            teller cannot say, as processes of earlier versions cannot.
+        removed_routes: Keys of routes that were removed.
+        servers: Entries that changed, each with its revision.
+        removed_servers: Ids of servers that were unlisted.
+        routes_total: Number of routes after the change.
+        servers_total: Number of entries after the change.
+        cold_bounds: Cold bounds, if the version is new.
+        evacuated: Zones whose evacuation was requested, each with the revision.
+        returned: Zones whose evacuation was withdrawn, each with the revision.
+        evacuated_total: Number of evacuated zones after the change.
+        routes_digest: Digest of the routes after the change; None if the sender
+            does not know it, as processes of earlier versions.
     """
 
     revision: int
@@ -67,19 +67,19 @@
 
 
 class FleetView(Struct, eq=False):
-    """The published state at one process; it never goes back.
+    """The published state as known to one process; revisions never decrease.
 
     Attributes:
         revision: Everything up to this revision of the platform is known.
-        table: The configuration, or None before the first.
+        table: The configuration, or None before the first one.
         servers: Entries by id.
-        evacuated: Zones that are to get no new flows, with the revision at
-            which that was asked for.
-        changed_at: Revision of the last change of each server, route key, zone
-            and the table's version (under ``None``), removals too.
-        bounds_at: Revision at which bounds of cold servers last changed.
+        evacuated: Zones that get no new flows, each with the revision of the
+            request to evacuate it.
+        changed_at: Revision of the last change, removals included, of each
+            server, route key and zone, and of the table under ``None``.
+        cold_bounds_changed_at: Revision of the last change of cold bounds.
         digest: Digest of the routes; see ``routes_digest``.
-        forgotten_to: Removals up to this revision are no longer known.
+        removals_dropped_to: Removals up to this revision are no longer known.
     """
 
     revision: int = 0
@@ -87,24 +87,24 @@
     servers: dict[str, ServerEntry] = field(default_factory=dict)
     evacuated: dict[str, int] = field(default_factory=dict)
     changed_at: dict[ViewKey, int] = field(default_factory=dict)
-    bounds_at: int = 0
+    cold_bounds_changed_at: int = 0
     digest: int = 0
-    forgotten_to: int = 0
+    removals_dropped_to: int = 0
 
     def put_table(
         self, table: RouteTable, revision: int, mends: bool = False
     ) -> bool:
-        """Puts a configuration in force if it is newer.
+        """Applies a configuration if it is newer.
 
         Args:
             table: The configuration.
             revision: Revision of its change.
-            mends: It is known to be whole, and also replaces one of the same
-                version.
+            mends: The table is known to be complete and also replaces a
+                different one of the same version.
         """
         known = self.table.version if self.table is not None else -1
         if table.version == known:
-            self._note_republished(revision)
+            self._record_republication(revision)
         if table.version < known or (table.version == known and not mends):
             return False
         table = table.with_former(self.table)
@@ -119,34 +119,34 @@
                 self.digest += route_digest(after) if after else 0
         self.changed_at[None] = revision
         if table.cold_bounds != (self.table.cold_bounds if self.table else ()):
-            self.bounds_at = revision
+            self.cold_bounds_changed_at = revision
         self.table = table
-        self._forget_removals()
+        self._drop_old_removals()
         return True
 
-    def _note_republished(self, revision: int) -> None:
-        """Notes that the platform has published the same version once more.
+    def _record_republication(self, revision: int) -> None:
+        """Records that the platform has published the known version again.
 
-        After a restore it may have held an older one. Whoever has read that
-        must be told all of this one, by the revision that it has now: told
-        differences from there, they would keep the older one.
+        After a restore, the store may have had an older version. Processes that
+        have read it must get the whole current version at its new revision:
+        with changes since their revision only, they would keep the older one.
         """
         known = self.changed_at[None]
         if era_of(revision) > era_of(known):
             self.changed_at[None] = revision
-            self.forgotten_to = max(self.forgotten_to, revision)
+            self.removals_dropped_to = max(self.removals_dropped_to, revision)
 
     @property
     def told_digest(self) -> int | None:
-        """Digest of the routes; None where some are kept unread.
+        """Digest of the routes; None if unreadable routes are kept.
 
-        Others that have read the same document do not have those.
+        Other processes that read the same document do not have those routes.
         """
         kept = self.table is not None and self.table.unread
         return None if kept else self.digest
 
     def put_server(self, entry: ServerEntry, revision: int) -> bool:
-        """Takes an entry if it is newer than what is known."""
+        """Stores an entry if it is newer than the known one."""
         if revision <= self.changed_at.get(entry.server_id, 0):
             return False
         self.changed_at[entry.server_id] = revision
@@ -154,15 +154,15 @@
         return True
 
     def remove_server(self, server_id: str, revision: int) -> bool:
-        """Takes word that an entry vanished, if that is news."""
+        """Removes an entry if the removal is newer than what is known."""
         if revision <= self.changed_at.get(server_id, 0):
             return False
         self.changed_at[server_id] = revision
-        self._forget_removals()
+        self._drop_old_removals()
         return self.servers.pop(server_id, None) is not None
 
     def put_evacuation(self, zone: str, revision: int) -> bool:
-        """Takes word that a zone is to be evacuated, if that is news.
+        """Marks a zone as evacuated if that is newer than what is known.
 
         Examples:
             >>> view = FleetView()
@@ -177,62 +177,65 @@
         return not known
 
     def remove_evacuation(self, zone: str, revision: int) -> bool:
-        """Takes word that an evacuation was withdrawn, if that is news."""
+        """Ends the evacuation of a zone if that is newer than what is known."""
         if revision <= self.changed_at.get(ZoneKey(zone), 0):
             return False
         self.changed_at[ZoneKey(zone)] = revision
         return self.evacuated.pop(zone, None) is not None
 
     def state_revision(self, entry: ServerEntry) -> int:
-        """Returns when what an agent should know of its server last changed."""
+        """Returns the revision of the last change that concerns an agent."""
         return max(
             self.changed_at.get(entry.server_id, 0),
             self.changed_at.get(ZoneKey(entry.zone), 0),
-            self.bounds_at,
+            self.cold_bounds_changed_at,
         )
 
     def note_told(self, change: ViewChange) -> None:
-        """Notes which routes others have seen changing.
+        """Records the routes that a received change names as changed.
 
-        Also such as are the same here as before: a version that was skipped
-        here had others, and processes that are told from here may have it.
+        Routes that are unchanged here count too: they may differ in a version
+        that was skipped here, and a process that is updated from here may have
+        that version.
         """
         told = (route.service_key for route in change.routes)
         for key in (*told, *change.removed_routes):
             known = self.changed_at.get(key, 0)
             self.changed_at[key] = max(known, change.revision)
-        self._forget_removals()
+        self._drop_old_removals()
 
     def note_whole(self, revision: int) -> None:
-        """Notes that everything was read anew.
+        """Records that the whole published state was read.
 
-        What came and went meanwhile was never seen, so whoever is further
-        behind must be told everything.
+        Entries that were added and removed between two reads were never seen,
+        so processes that are further behind must get the whole view.
         """
         self.reach(revision)
-        self.forgotten_to = max(self.forgotten_to, revision)
+        self.removals_dropped_to = max(self.removals_dropped_to, revision)
 
     def reach(self, revision: int) -> None:
-        """Notes that everything up to a revision is known."""
+        """Records that everything up to a revision is known."""
         self.revision = max(self.revision, revision)
 
-    def _forget_removals(self) -> None:
+    def _drop_old_removals(self) -> None:
         routes = self.table.routes if self.table else {}
-        gone = [
+        removed = [
             key
             for key in self.changed_at
             if (isinstance(key, str) and key not in self.servers)
             or (isinstance(key, bytes) and key not in routes)
         ]
-        if len(gone) <= REMOVED_KEPT:
+        if len(removed) <= REMOVALS_KEPT:
             return
-        gone.sort(key=lambda key: self.changed_at[key])
-        for key in gone[: len(gone) // 2]:
-            self.forgotten_to = max(self.forgotten_to, self.changed_at[key])
+        removed.sort(key=lambda key: self.changed_at[key])
+        for key in removed[: len(removed) // 2]:
+            self.removals_dropped_to = max(
+                self.removals_dropped_to, self.changed_at[key]
+            )
             del self.changed_at[key]
 
     def since(self, revision: int) -> ViewChange:
-        """Returns what changed after a revision.
+        """Returns the changes after a revision, or the whole view if too old.
 
         Examples:
             >>> view = FleetView()
@@ -242,10 +245,10 @@
             >>> view.since(6).servers[0][1]
             7
         """
-        base = revision if revision >= self.forgotten_to else 0
+        base = revision if revision >= self.removals_dropped_to else 0
         changed = {key for key, at in self.changed_at.items() if at > base}
         routes: Mapping[bytes, Route] = self.table.routes if self.table else {}
-        # In one order, so that parts of two equal messages fit together.
+        # Sorted, so that parts of two equal messages can be joined.
         keys = sorted(key for key in changed if isinstance(key, bytes))
         ids = sorted(key for key in changed if isinstance(key, str))
         zones = sorted(key.zone for key in changed if isinstance(key, ZoneKey))
