--- a/notchhoist/flows/codec/__init__.py
+++ b/notchhoist/flows/codec/__init__.py
@@ -1,5 +1,6 @@
 """Thrift encoding of the control messages.
 
-``flow.thrift`` is the schema, ``generated`` what the library's generator made
-of it, and ``message_codec`` translates to and from ``model.messages``.
+``flow.thrift`` is the schema, and ``generated`` is the code that the Thrift
+compiler generates from it. ``message_codec`` converts to and from
+``model.messages``.
 """
--- a/notchhoist/flows/codec/flow.thrift
+++ b/notchhoist/flows/codec/flow.thrift
@@ -1,8 +1,8 @@
 /** Control messages of opaque flows. Field numbers are permanent. */
 
-/** An era belongs to the revision beside it; without it, it is 0. */
+/** An era belongs to the revision in the same struct; it is 0 if absent. */
 
-/** What is optional came later: older processes neither send nor miss it. */
+/** Optional fields came later: older processes neither send nor need them. */
 struct ServerState {
   1: i64 revision, 2: i64 born_ms, 3: bool evacuated, 4: i32 evacuated_for_ms,
   5: i32 cold_for_ms, 6: double bound_per_s, 7: double bound_lasts_s,
@@ -46,7 +46,7 @@
   22: optional i32 rerouted_for_ms, 23: optional i64 routes_digest
 }
 
-/** data: a piece of a compressed ViewTell; members: in the first piece only. */
+/** data: a piece of a compressed ViewTell; members: only in the first piece. */
 struct ViewPiece {
   1: i64 revision, 2: i64 base, 3: i32 age_ms, 4: list<Member> members,
   5: i32 part, 6: i32 parts, 7: binary data, 8: optional i64 asked,
@@ -54,11 +54,11 @@
   11: optional i32 rerouted_for_ms
 }
 
-/** heads: packets' heads to tell about; samples: packets to try. */
+/** heads: headers of packets of the flows; samples: sample packets. */
 struct FlowsAsk { 1: i32 number, 2: i32 tag, 3: list<binary> heads, 4: list<binary> samples }
 /**
- * Keys of flows; number: of the question, 0 for the outcome of samples;
- * age_ms: since when an agent that is unsure has run.
+ * Keys of flows; number: of the query, 0 for the result of sample packets;
+ * age_ms: uptime of an unsure agent.
  */
 struct FlowsTell {
   1: i32 number, 2: list<binary> present, 3: list<binary> absent,
--- a/notchhoist/flows/codec/message_codec.py
+++ b/notchhoist/flows/codec/message_codec.py
@@ -1,7 +1,7 @@
 """Thrift compact encoding of the control messages of opaque flows.
 
-Loaded when the first message is sent or comes, since a process must be
-listening before it has time for this.
+Imported when the first message is sent or received: importing it takes time,
+and a process must be listening first.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 from notchhoist.flows.codec.generated import ttypes
 from notchhoist.flows.codec.view_codec import (
     AGE_MAX_S,
-    check_whole,
+    check_required_fields,
     view_of,
     view_struct,
 )
@@ -91,16 +91,16 @@
     )
 
 
-def _flows_struct(tell: FlowsTell) -> Any:
+def _flows_struct(reply: FlowsTell) -> Any:
     return ttypes.FlowsTell(
-        number=tell.number,
-        present=list(tell.present),
-        absent=list(tell.absent),
-        unsure=list(tell.unsure),
-        flows=tell.flows,
-        running=tell.running,
-        pace_ms=tell.pace_ms,
-        age_ms=tell.age_ms or None,
+        number=reply.number,
+        present=list(reply.present),
+        absent=list(reply.absent),
+        unsure=list(reply.unsure),
+        flows=reply.flows,
+        running=reply.running,
+        pace_ms=reply.pace_ms,
+        age_ms=reply.age_ms or None,
     )
 
 
@@ -108,18 +108,18 @@
     """Decodes a control message.
 
     Examples:
-        >>> tell = LoadTell(4, 1, 60, False)
-        >>> decode_message(encode_message(tell)) == tell
+        >>> report = LoadTell(4, 1, 60, False)
+        >>> decode_message(encode_message(report)) == report
         True
 
     Raises:
-        CodecError: The bytes are no message of this version.
+        CodecError: The bytes are not a message of this protocol version.
     """
     struct = ttypes.FlowMessage()
     try:
         read_struct(struct, data)
         return _message_of(struct)
-    except Exception as error:  # The library raises many unrelated types.
+    except Exception as error:  # Errors of the library share no base type.
         reason = f"{type(error).__name__}: {error}"[:200]
         raise CodecError("thrift", reason) from error
 
@@ -136,31 +136,38 @@
         struct.view_piece,
     ):
         if body is not None:
-            check_whole(body)
+            check_required_fields(body)
     if struct.load_ask is not None:
-        asked = struct.load_ask
-        return LoadAsk(asked.slots, _state_of(asked.state))
+        load_query = struct.load_ask
+        return LoadAsk(load_query.slots, _state_of(load_query.state))
     if struct.load_tell is not None:
-        told = struct.load_tell
+        load_report = struct.load_tell
         return LoadTell(
-            told.flows,
-            told.running,
-            told.pace_ms,
-            told.stopping,
-            make_revision(told.state_era or 0, told.state_revision or 0),
+            load_report.flows,
+            load_report.running,
+            load_report.pace_ms,
+            load_report.stopping,
+            make_revision(
+                load_report.state_era or 0, load_report.state_revision or 0
+            ),
         )
     if struct.flows_ask is not None:
-        question = struct.flows_ask
-        heads, samples = tuple(question.heads), tuple(question.samples)
-        return FlowsAsk(question.number, question.tag, heads, samples)
+        flows_query = struct.flows_ask
+        heads, samples = tuple(flows_query.heads), tuple(flows_query.samples)
+        return FlowsAsk(flows_query.number, flows_query.tag, heads, samples)
     if struct.flows_tell is not None:
         return _flows_of(struct.flows_tell)
     if struct.view_ask is not None:
-        view = struct.view_ask
-        known = make_revision(view.era or 0, view.revision)
-        number, reads_pieces = view.number or 0, bool(view.reads_pieces)
-        unserved = bool(view.unserved)
-        return ViewAsk(known, view.link_mbps, number, reads_pieces, unserved)
+        view_query = struct.view_ask
+        known = make_revision(view_query.era or 0, view_query.revision)
+        number, reads_pieces = (
+            view_query.number or 0,
+            bool(view_query.reads_pieces),
+        )
+        unserved = bool(view_query.unserved)
+        return ViewAsk(
+            known, view_query.link_mbps, number, reads_pieces, unserved
+        )
     if struct.view_tell is not None:
         return view_of(struct.view_tell)
     if struct.view_piece is not None:
@@ -171,7 +178,7 @@
 def _state_of(struct: Any) -> ServerState | None:
     if struct is None:
         return None
-    check_whole(struct)
+    check_required_fields(struct)
     return ServerState(
         revision=make_revision(struct.era or 0, struct.revision),
         born_ms=struct.born_ms,
--- a/notchhoist/flows/codec/tests/test_versions.py
+++ b/notchhoist/flows/codec/tests/test_versions.py
@@ -1,7 +1,8 @@
-"""Messages of the former version and of this one, side by side.
+"""Compatibility of control messages between versions.
 
-The bytes are what the version before evacuations and start times wrote. A
-rolling upgrade has both: what the older one does not know must be optional.
+During a rolling upgrade, processes of two versions exchange messages, so fields
+that the older one does not know must be optional. The bytes in ``FORMER`` were
+written by the version before zone evacuations and start times of servers.
 """
 
 import pytest
@@ -62,7 +63,7 @@
     assert decode_message(bytes.fromhex(text)) == FORMER[text]
 
 
-def test_a_field_that_has_always_been_there_must_be_there():
+def test_required_field_must_be_present():
     without_flows = bytes.fromhex("1502ac250215781100 00")
     with pytest.raises(CodecError, match="flows is missing"):
         decode_message(without_flows)
@@ -77,8 +78,8 @@
         ViewTell(CHANGE, 0.25, (Member("10.0.0.1", 5, 20),), asked=4),
     ],
 )
-def test_what_is_new_is_optional_on_the_wire(message):
-    """The former version skips what it does not know, field by field."""
+def test_new_fields_are_optional_on_the_wire(message):
+    """The former version skips each field that it does not know."""
     struct = ttypes.FlowMessage()
     buffer = TTransport.TMemoryBuffer(encode_message(message))
     struct.read(TCompactProtocol.TCompactProtocol(buffer))
@@ -117,8 +118,8 @@
         assert decode_message(encode_message(message)) == message
 
 
-def test_a_process_that_knows_no_eras_reads_the_platforms_counts():
-    """While both versions run it goes on as if there were one history."""
+def test_process_without_eras_reads_the_counts():
+    """While both versions run, it works as if there were a single era."""
     for message in in_era(1):
         struct = ttypes.FlowMessage()
         buffer = TTransport.TMemoryBuffer(encode_message(message))
--- a/notchhoist/flows/codec/view_codec.py
+++ b/notchhoist/flows/codec/view_codec.py
@@ -1,8 +1,8 @@
-"""Thrift structs of views, and the check that all messages share."""
+"""Thrift structs of views, and the check for required fields."""
 
 from typing import Any
 
-from notchhoist.flows.codec.compact import MAX_RECORDS
+from notchhoist.flows.codec.compact import CONTAINER_ITEMS_MAX
 from notchhoist.flows.codec.generated import ttypes
 from notchhoist.flows.model.fleet import (
     ColdBound,
@@ -20,7 +20,7 @@
 
 AGE_MAX_S = 1e6
 
-_ADDED_LATER = {
+_OPTIONAL_FIELDS = {
     "FlowsTell": ("age_ms",),
     "LoadAsk": ("state",),
     "Member": ("unserved",),
@@ -42,22 +42,22 @@
         "routes_digest",
     ),
 }
-"""Fields that processes of an earlier version do not send."""
+"""Fields by struct that processes of earlier versions do not send."""
 
 
-_ALWAYS: dict[type, tuple[str, ...]] = {}
-"""Names of the fields that each struct must have, as far as asked for."""
+_REQUIRED_FIELDS: dict[type, tuple[str, ...]] = {}
+"""Names of the required fields by struct, filled on first use."""
 
 
-def check_whole(struct: Any) -> None:
-    """Raises ValueError where a field is missing that has always been there."""
+def check_required_fields(struct: Any) -> None:
+    """Raises ValueError if a field that all versions send is missing."""
     kind = type(struct)
-    names = _ALWAYS.get(kind)
+    names = _REQUIRED_FIELDS.get(kind)
     if names is None:
-        later = _ADDED_LATER.get(kind.__name__, ())
+        later = _OPTIONAL_FIELDS.get(kind.__name__, ())
         fields = [entry[2] for entry in struct.thrift_spec if entry]
         names = tuple(name for name in fields if name not in later)
-        _ALWAYS[kind] = names
+        _REQUIRED_FIELDS[kind] = names
     for name in names:
         if getattr(struct, name) is None:
             raise ValueError(f"{kind.__name__}.{name} is missing")
@@ -70,29 +70,29 @@
 
 
 def members_of(structs: Any) -> tuple[Member, ...]:
-    """Returns the balancers that Thrift structs hold.
+    """Returns the balancers in Thrift structs.
 
     Raises:
-        ValueError: Something in one is missing.
+        ValueError: A required field is missing.
     """
     for struct in structs:
-        check_whole(struct)
+        check_required_fields(struct)
     return tuple(
         Member(m.host, m.link_mbps, m.age_ms, bool(m.unserved)) for m in structs
     )
 
 
-def view_struct(tell: ViewTell) -> Any:
+def view_struct(update: ViewTell) -> Any:
     """Returns the Thrift struct of a part of a view."""
-    change = tell.change
+    change = update.change
     return ttypes.ViewTell(
         revision=count_of(change.revision),
         era=era_of(change.revision),
         base=count_of(change.base),
-        age_ms=int(min(tell.age_s, AGE_MAX_S) * 1000),
-        members=[member_struct(member) for member in tell.members],
-        part=tell.part,
-        parts=tell.parts,
+        age_ms=int(min(update.age_s, AGE_MAX_S) * 1000),
+        members=[member_struct(member) for member in update.members],
+        part=update.part,
+        parts=update.parts,
         version=change.version,
         idle_s=change.idle_s,
         routes=[_route_struct(route) for route in change.routes],
@@ -108,9 +108,9 @@
         evacuated=[_zone_struct(*zone) for zone in change.evacuated],
         returned=[_zone_struct(*zone) for zone in change.returned],
         evacuated_total=change.evacuated_total,
-        asked=tell.asked,
-        placing_for_ms=tell.placing_for_ms or None,
-        rerouted_for_ms=tell.rerouted_for_ms or None,
+        asked=update.asked,
+        placing_for_ms=update.placing_for_ms or None,
+        rerouted_for_ms=update.rerouted_for_ms or None,
         routes_digest=change.routes_digest,
     )
 
@@ -151,7 +151,7 @@
 
 def _zones_of(structs: Any) -> tuple[tuple[str, int], ...]:
     for struct in structs or ():
-        check_whole(struct)
+        check_required_fields(struct)
     return tuple(
         (struct.name, make_revision(struct.era or 0, struct.revision))
         for struct in structs or ()
@@ -160,7 +160,7 @@
 
 def _bounds_of(structs: Any) -> tuple[ColdBound, ...]:
     for struct in structs or ():
-        check_whole(struct)
+        check_required_fields(struct)
     return tuple(
         ColdBound(struct.service_name, struct.per_s, struct.lasts_s)
         for struct in structs or ()
@@ -168,14 +168,14 @@
 
 
 def view_of(struct: Any) -> ViewTell:
-    """Returns the part of a view that a Thrift struct holds.
+    """Returns the part of a view in a Thrift struct.
 
     Raises:
-        ValueError: Something in it is missing or impossible.
+        ValueError: A required field is missing or a value is impossible.
     """
-    check_whole(struct)
-    if not 0 <= struct.part < struct.parts <= MAX_RECORDS:
-        raise ValueError(f"part {struct.part} of {struct.parts}")
+    check_required_fields(struct)
+    if not 0 <= struct.part < struct.parts <= CONTAINER_ITEMS_MAX:
+        raise ValueError(f"impossible part: {struct.part} of {struct.parts}")
     era = struct.era or 0
     change = ViewChange(
         revision=make_revision(era, struct.revision),
@@ -207,11 +207,11 @@
 
 
 def _route_of(struct: Any) -> Route:
-    check_whole(struct)
+    check_required_fields(struct)
     for target in struct.targets:
-        check_whole(target)
+        check_required_fields(target)
     if sum(target.weight for target in struct.targets) <= 0:
-        raise ValueError(f"route {struct.name} leads nowhere")
+        raise ValueError(f"route {struct.name}: no target has a weight")
     return Route(
         name=struct.name,
         service_key=struct.service_key,
@@ -224,7 +224,7 @@
 
 
 def _kind_of(name: str) -> RequestKind:
-    """Returns a kind; one that only newer processes know is once-only."""
+    """Returns the kind of a name; kinds of newer versions become once-only."""
     try:
         return RequestKind(name)
     except ValueError:
@@ -232,7 +232,7 @@
 
 
 def _server_of(struct: Any) -> tuple[ServerEntry, int]:
-    check_whole(struct)
+    check_required_fields(struct)
     entry = ServerEntry(
         server_id=struct.server_id,
         service=struct.service_name,
--- a/notchhoist/flows/codec/view_pieces.py
+++ b/notchhoist/flows/codec/view_pieces.py
@@ -1,11 +1,11 @@
-"""Large changes of the view, compressed once and sent to many in pieces."""
+"""Pieces of large view changes, compressed once for several receivers."""
 
 import zlib
 from typing import Any
 
 from notchhoist.base.errors import CodecError
 from notchhoist.flows.codec.compact import (
-    MAX_RECORDS,
+    CONTAINER_ITEMS_MAX,
     read_struct,
     write_struct,
 )
@@ -21,34 +21,34 @@
 from notchhoist.flows.model.revisions import count_of, era_of, make_revision
 from notchhoist.flows.model.view import ViewChange
 
-LEVEL = 1
-"""Compression level; higher ones take twice the time for an eighth less."""
+COMPRESSION_LEVEL = 1
+"""zlib level; higher ones take twice the time and save one eighth more."""
 
-MOST_BYTES = 8_000_000
-"""A change of more bytes is refused; 10,000 servers take a tenth of it."""
+UNPACKED_BYTES_MAX = 8_000_000
+"""Largest decompressed change that is accepted; 10,000 servers take a tenth."""
 
 
 def pack_change(change: ViewChange) -> bytes:
-    """Returns a change, compressed."""
-    tell = ViewTell(change, 0.0, ())
-    return zlib.compress(write_struct(view_struct(tell)), LEVEL)
+    """Returns a change, encoded and compressed."""
+    update = ViewTell(change, 0.0, ())
+    return zlib.compress(write_struct(view_struct(update)), COMPRESSION_LEVEL)
 
 
 def unpack_change(data: bytes) -> ViewChange:
-    """Returns the change that ``pack_change`` has compressed.
+    """Decodes a change that ``pack_change`` has encoded.
 
     Raises:
-        CodecError: The bytes are none.
+        CodecError: The bytes are not an encoded change.
     """
     struct = ttypes.ViewTell()
     try:
         unpacker = zlib.decompressobj()
-        plain = unpacker.decompress(data, MOST_BYTES)
+        plain = unpacker.decompress(data, UNPACKED_BYTES_MAX)
         if not unpacker.eof:
-            raise ValueError("longer than it may be, or cut off")
+            raise ValueError("too long or truncated")
         read_struct(struct, plain)
         return view_of(struct).change
-    except Exception as error:  # The library raises many unrelated types.
+    except Exception as error:  # Errors of the library share no base type.
         reason = f"{type(error).__name__}: {error}"[:200]
         raise CodecError("view", reason) from error
 
@@ -71,13 +71,13 @@
 
 
 def piece_of(struct: Any) -> ViewPiece:
-    """Returns the piece that a Thrift struct holds.
+    """Returns the piece in a Thrift struct.
 
     Raises:
-        ValueError: Something in it is impossible.
+        ValueError: A part number is impossible or a member lacks a field.
     """
-    if not 0 <= struct.part < struct.parts <= MAX_RECORDS:
-        raise ValueError(f"piece {struct.part} of {struct.parts}")
+    if not 0 <= struct.part < struct.parts <= CONTAINER_ITEMS_MAX:
+        raise ValueError(f"impossible piece: {struct.part} of {struct.parts}")
     era = struct.era or 0
     return ViewPiece(
         revision=make_revision(era, struct.revision),
