--- a/notchhoist/flows/tests/__init__.py
+++ b/notchhoist/flows/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the opaque-flow path."""
+"""Tests of the opaque-flow path, and helpers for the tests of its parts."""
--- a/notchhoist/flows/tests/agents.py
+++ b/notchhoist/flows/tests/agents.py
@@ -1,4 +1,4 @@
-"""An agent for tests, and what comes out of it."""
+"""An agent for tests, and helpers that read its effects."""
 
 from notchhoist.flows.agent.node import make_agent
 from notchhoist.flows.agent.telling import UNSURE_S
@@ -27,7 +27,7 @@
 
 
 def agent(slots=0, known=True):
-    """An agent that has run long enough to know every flow, or not."""
+    """Makes an agent; ``known`` lets it run long enough to know every flow."""
     started = START - (UNSURE_S + 1 if known else 0.0)
     node = make_agent(crafting.SERVICE, CODEC, started)
     if slots:
@@ -53,14 +53,14 @@
 
 
 def accept(node, port, now=START, wish=FRESH):
-    """Opens a flow up to the server's acceptance."""
+    """Opens a flow until the server accepts it."""
     send(node, request(flags=SYN, port=port), NoteKind.PLACE, now, wish)
     accepted = answer(flags=SYN | ACK, seq=SERVER_SEQ, ack=1, port=port)
     return node.on_backend(accepted, now)
 
 
 def ask(node, port, now=START, seq=1, wish=FRESH):
-    """Sends a request on a flow that was accepted."""
+    """Sends a request on an accepted flow."""
     data = request(data=b"x" * 9, seq=seq, ack=SERVER_SEQ + 1, port=port)
     return send(node, data, NoteKind.HELD, now, wish)
 
--- a/notchhoist/flows/tests/balancing.py
+++ b/notchhoist/flows/tests/balancing.py
@@ -1,4 +1,4 @@
-"""A balancer for tests, and what comes out of it."""
+"""A balancer for tests, and helpers that read its effects."""
 
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model import notes
@@ -24,7 +24,7 @@
 
 
 def packets(effects):
-    """Returns the agents' packets as (host, segment)."""
+    """Returns the packets for agents as (host, segment)."""
     return [
         (effect.host, CODEC.decode_request(effect.datagram))
         for effect in effects
@@ -37,7 +37,7 @@
 
 
 def asked_agents(effects):
-    """Returns the hosts that are asked about flows, in order."""
+    """Returns the hosts whose agents get queries about flows, in order."""
     return [
         effect.host
         for effect in effects
@@ -48,7 +48,7 @@
 
 
 def tried_agents(effects):
-    """Returns the packets that agents are to try, as (host, segment)."""
+    """Returns the sample packets for agents, as (host, segment)."""
     return [
         (effect.host, CODEC.decode_request(raw))
         for effect in effects
@@ -58,7 +58,7 @@
 
 
 def tell_flow(node, host, segment, kind, now):
-    """Answers the question under way to an agent, about one flow."""
+    """Answers the pending query to an agent for one flow."""
     lines = node.finder.questions.lines
     [line] = [line for (name, _), line in lines.items() if name == host]
     told = {kind.name.lower(): (segment.flow,)}
@@ -66,7 +66,7 @@
 
 
 def tell_outcome(node, host, segment, now):
-    """Tells that a packet that was tried came back."""
+    """Reports that the flow of a sample packet is absent."""
     return node.on_peer(host, FlowsTell(0, absent=(segment.flow,)), now)
 
 
@@ -84,7 +84,7 @@
 
 
 def tick_among_dead(node, now):
-    """Ticks; every host that the balancer checks says nothing."""
+    """Ticks; each host that the balancer checks stays silent."""
     effects = node.tick(now)
     for effect in list(effects):
         if isinstance(effect, CheckHost):
--- a/notchhoist/flows/tests/crafting.py
+++ b/notchhoist/flows/tests/crafting.py
@@ -1,4 +1,4 @@
-"""Packets and fleets for tests, made by the platform's codec."""
+"""Packets, routes and servers for tests; the platform's codec decodes them."""
 
 import struct
 
@@ -33,7 +33,7 @@
     answer=False,
     service_port=SERVICE_PORT,
 ):
-    """Returns a packet's bytes, from the caller or, as an answer, to it."""
+    """Returns the bytes of a packet from the caller or, as an answer, to it."""
     ends = [(address(CALLER), port), (address(SERVICE_HOST), service_port)]
     (src, sport), (dst, dport) = ends[::-1] if answer else ends
     return (
@@ -55,7 +55,7 @@
 
 
 def bounced(segment):
-    """Returns a caller's packet as a backend server gives it back."""
+    """Returns a caller's packet as a backend server returns it undelivered."""
     raw = bytearray(segment.raw)
     raw[12] |= BOUNCED
     return CODEC.decode_answer(bytes(raw))
--- a/notchhoist/flows/tests/history.py
+++ b/notchhoist/flows/tests/history.py
@@ -1,7 +1,8 @@
-"""A few real nodes among fakes, for checks of whole histories.
+"""Simulation of real balancers and agents with fake backend servers.
 
-Two balancers and three hosts, each with an agent and a backend server that is a
-fake. Every reset that a caller gets is checked against the servers.
+It has two balancers and three hosts, each with an agent and a fake backend
+server. Each reset that a caller gets is checked against the servers' open
+flows.
 """
 
 import itertools
@@ -23,26 +24,26 @@
     Server,
 )
 
-CONTACT_S = 5.0
-"""A host that was cut off lately may lose its flows, seconds."""
+RECENT_CUT_S = 5.0
+"""Flows of a host may be reset for this long after a cut ended, seconds."""
 
-LATER_S = 6.0
-"""Histories begin when balancers have known the list for a while, seconds."""
+START_S = 6.0
+"""Start time: balancers have known the server list for this long, seconds."""
 
-AWAY_S = 2.0
-"""A server that is cut off from the store and has had no agent for so long,
-seconds, is out of touch."""
+AGENT_DOWN_S = 2.0
+"""Flows may be reset if their server is cut off from the store and its agent
+has been down for this long, seconds."""
 
-OTHER = "scoredrop"
-"""A service that takes hosts over; it has no route of its own here."""
+OTHER_SERVICE = "scoredrop"
+"""A service without a route, to which hosts are reassigned."""
 
 
-class World(Network):
-    """A history: what happens, and the resets that callers get.
+class Simulation(Network):
+    """Simulation that applies events and checks the resets that callers get.
 
     Attributes:
-        wrong: Resets of flows that are open at a living server.
-        resets: How many resets callers got on flows that were open once.
+        wrong: Resets of flows that are open at a running server.
+        resets: Number of resets of flows that a server had accepted.
     """
 
     def __init__(self, seed, loss=0.0, late=0.0, uses=ALL):
@@ -56,7 +57,7 @@
         for ip in HOSTS:
             self.start_agent(ip, since=-100.0)
             self.start_server(ip)
-        self.now = LATER_S
+        self.now = START_S
         self.run(0.1)
 
     def _balancer(self, ip):
@@ -71,14 +72,14 @@
         node.fleet.on_listing(entries, self.revision, self.now)
         return node
 
-    # What happens.
+    # Events.
 
     def start_agent(self, ip, since=None):
         host = self.hosts[ip]
         service = host.server.service if host.server else crafting.SERVICE
         started = self.now if since is None else since
         host.agent = make_agent(service, CODEC, started, self.uses)
-        host.away_since = float("inf")
+        host.agent_down_since = float("inf")
 
     def stop_agent(self, ip, away_s, planned=True):
         host = self.hosts[ip]
@@ -87,11 +88,11 @@
         if planned:
             self.perform_agent(ip, host.agent.stop(self.now))
         host.agent = None
-        host.away_since = self.now
-        self.later(away_s, partial(self._agent_back, ip))
+        host.agent_down_since = self.now
+        self.later(away_s, partial(self._restart_agent, ip))
 
-    def _agent_back(self, ip):
-        if self.hosts[ip].agent is None and not self.hosts[ip].dark:
+    def _restart_agent(self, ip):
+        if self.hosts[ip].agent is None and not self.hosts[ip].powered_off:
             self.start_agent(ip)
 
     def start_server(self, ip, service=crafting.SERVICE, same_id=False):
@@ -99,10 +100,10 @@
         known = host.entry.server_id if host.entry else ""
         number = next(self.numbers)
         server_id = known if same_id and known else f"s{number}"
-        first_seq = 5000 + 3_000_000 * number
-        host.server = Server(server_id, service, first_seq)
+        initial_seq = 5000 + 3_000_000 * number
+        host.server = Server(server_id, service, initial_seq)
         if not same_id and known:
-            # The entry of the former outlives it.
+            # The entry of the former server stays listed for a while.
             self.later(3.0, partial(self.remove, known))
         self.publish(
             ip,
@@ -119,103 +120,104 @@
             self.hosts[ip].server = None
             self.later(3.0, partial(self.remove, server.server_id))
 
-    def flap(self, ip, away_s, same_id):
-        """Ends a server that comes back a moment later, without its flows."""
+    def restart_server(self, ip, away_s, same_id):
+        """Stops a server and restarts it a moment later without its flows."""
         server = self.hosts[ip].server
-        if server is None or server.service == OTHER:
+        if server is None or server.service == OTHER_SERVICE:
             return
         self.hosts[ip].server = None
         self.run(away_s)
-        if self.hosts[ip].server is None and not self.hosts[ip].dark:
+        if self.hosts[ip].server is None and not self.hosts[ip].powered_off:
             self.start_server(ip, same_id=same_id)
 
-    def replace(self, ip, away_s=0.5):
-        """Gives a host to another service, whose agent starts with it."""
-        if self.hosts[ip].dark:
+    def reassign_host(self, ip, away_s=0.5):
+        """Reassigns a host to another service, with a new agent."""
+        if self.hosts[ip].powered_off:
             return
         self.crash(ip)
         self.hosts[ip].agent = None
-        self.start_server(ip, OTHER)
-        self.later(away_s, partial(self._agent_back, ip))
+        self.start_server(ip, OTHER_SERVICE)
+        self.later(away_s, partial(self._restart_agent, ip))
 
     def drain(self, ip, slow=False):
-        """Lets a server leave: its listener closes before it ends."""
+        """Drains a server: its listener closes before it exits."""
         host = self.hosts[ip]
         if host.server is None or host.entry is None:
             return
         self.publish(ip, replace(host.entry, draining=True))
         server = host.server
         self.later(3.0, lambda: setattr(server, "listens", False))
-        self.later(6.5 if slow else 5.0, partial(self._end, ip, server))
+        self.later(6.5 if slow else 5.0, partial(self._stop_server, ip, server))
 
-    def _end(self, ip, server):
+    def _stop_server(self, ip, server):
         if self.hosts[ip].server is server:
             self.hosts[ip].server = None
             self.remove(server.server_id)
 
     def power_off(self, ip, for_s=None):
         host = self.hosts[ip]
-        host.dark, host.agent = True, None
+        host.powered_off, host.agent = True, None
         self.crash(ip)
         if for_s is not None:
             self.later(for_s, partial(self._power_on, ip))
 
     def _power_on(self, ip):
-        self.hosts[ip].dark = False
+        self.hosts[ip].powered_off = False
         self.start_server(ip)
         self.start_agent(ip)
 
-    def leave(self, ip, for_s):
-        """Ends a server and its agent; the host goes on refusing."""
+    def stop_server_and_agent(self, ip, for_s):
+        """Stops a server and its agent; the host refuses connections."""
         self.crash(ip)
         self.stop_agent(ip, for_s)
 
-    def lapse(self, ip, for_s, outage=False):
-        """Lets the entry of a living server vanish for a while.
+    def unlist(self, ip, for_s, outage=False):
+        """Unlists a running server for a while.
 
         Args:
             ip: Its host.
             for_s: For how long, seconds.
-            outage: The store is away, not the server cut off from it.
+            outage: The cause is an outage of the store; otherwise the server is
+                cut off from the store.
         """
         host = self.hosts[ip]
         if host.entry is None or host.server is None:
             return
-        host.lapsed = not outage
+        host.cut_from_store = not outage
         entry = host.entry
         self.remove(entry.server_id)
-        self.later(for_s, partial(self._reappear, ip, entry))
+        self.later(for_s, partial(self._list_again, ip, entry))
 
-    def _reappear(self, ip, entry):
+    def _list_again(self, ip, entry):
         server = self.hosts[ip].server
         if server is not None and server.server_id == entry.server_id:
             self.publish(ip, self.hosts[ip].entry or entry)
 
-    def store_fails(self, ips, for_s):
+    def cut_store(self, ips, for_s):
         for ip in ips:
-            self.turned_away[ip] = self.now + for_s
+            self.store_cut_until[ip] = self.now + for_s
 
     def cut(self, one, other, for_s):
-        """Cuts one way; what the cut host does is excused for a while."""
+        """Cuts one direction; resets of that host's flows are then no error."""
         self.cuts[one, other] = self.now + for_s
         for ip in (one, other):
             if ip in self.hosts:
-                self.hosts[ip].disturbed_at = self.now + for_s
+                self.hosts[ip].cut_until = self.now + for_s
 
     def restart_balancer(self, ip):
         self.balancers[ip] = self._balancer(ip)
-        self.missed[ip].clear()
+        self.unread_events[ip].clear()
 
     # Callers.
 
     def open(self, twice=False):
-        """Opens a flow and sends its first request, in a calm moment.
+        """Opens a flow and sends its first request, without packet loss.
 
-        What becomes of openings whose words are lost is not looked at here.
+        Openings with lost packets are not checked here.
 
         Args:
-            twice: A copy goes through the other balancer, so that two servers
-                accept and the caller chooses one.
+            twice: The opening packet goes through both balancers, so that two
+                servers accept and the caller chooses one.
         """
         usual, self.loss, self.late = (self.loss, self.late), 0.0, 0.0
         port = 40000 + next(self.numbers)
@@ -226,7 +228,7 @@
         self.loss, self.late = usual
 
     def ask(self, port, copies=1):
-        """Sends a request, and copies of it, through any balancers."""
+        """Sends a request and its retransmissions through random balancers."""
         caller = self.callers[port]
         if caller.dead or not caller.server_seq:
             return
@@ -239,7 +241,7 @@
         caller.seq += 9
 
     def open_late(self, port):
-        """Sends a copy of an opening packet that came late."""
+        """Sends a delayed retransmission of an opening packet."""
         self._send(self.rng.choice(BALANCERS), flags=SYN, port=port)
 
     def _send(self, ip, **fields):
@@ -258,26 +260,29 @@
             caller.server_seq = segment.seq
             self.ask(port)
         elif segment.resets:
-            self._judge(sender, port)
+            self._check_reset(sender, port)
             caller.dead = True
 
-    def _judge(self, sender, port):
+    def _check_reset(self, sender, port):
         if self.callers[port].server_seq:
             self.resets += 1
-        if self._is_opener(sender, port):
+        if self._is_failed_opening(sender, port):
             return
         for host in self.hosts.values():
             if host.server is None or port not in host.server.open:
                 continue
-            cut_off = host.lapsed and self.now - host.away_since >= AWAY_S
-            if self.now - host.disturbed_at > CONTACT_S and not cut_off:
+            cut_off = (
+                host.cut_from_store
+                and self.now - host.agent_down_since >= AGENT_DOWN_S
+            )
+            if self.now - host.cut_until > RECENT_CUT_S and not cut_off:
                 self.wrong.append((self.now, sender, host.ip, port))
 
-    def _is_opener(self, sender, port):
-        """Tells whether the reset is of a balancer that found no server.
+    def _is_failed_opening(self, sender, port):
+        """Tells whether a balancer sent the reset as no server took the flow.
 
-        The caller may have opened the flow through the other one; openings
-        are not looked at here.
+        The caller may have opened the flow through the other balancer; openings
+        are not checked here.
         """
         if sender not in self.balancers:
             return False
--- a/notchhoist/flows/tests/network.py
+++ b/notchhoist/flows/tests/network.py
@@ -1,7 +1,7 @@
-"""What carries packets between a few real nodes, for checks of histories.
+"""Simulated network between a few real nodes.
 
-Packets are lost, doubled, late or cut; each balancer reads the store unless it
-is turned away.
+Packets are lost, duplicated, delayed or cut off. Each balancer reads the
+platform's store unless it is cut off from it.
 """
 
 import heapq
@@ -23,27 +23,29 @@
 
 
 class Server(Struct, eq=False):
-    """A backend server: the flows that it has half or fully open."""
+    """A fake backend server with its half-open and open flows."""
 
     server_id: str
     service: str
-    first_seq: int
+    initial_seq: int
     listens: bool = True
     accepts: bool = True
-    half: set = field(default_factory=set)
+    half_open: set = field(default_factory=set)
     open: set = field(default_factory=set)
     received: list = field(default_factory=list)
 
     def on_packet(self, segment, port):
-        """Returns what it sends for a packet."""
+        """Returns the packet that answers a packet, or None."""
         if segment.opens:
-            if port not in self.open | self.half:
+            if port not in self.open | self.half_open:
                 if not self.accepts:
                     return bounced(segment)
-                self.half.add(port)
-            return answer(flags=SYN | ACK, seq=self.first_seq, ack=1, port=port)
-        if port in self.half and segment.ack == self.first_seq + 1:
-            self.half.discard(port)
+                self.half_open.add(port)
+            return answer(
+                flags=SYN | ACK, seq=self.initial_seq, ack=1, port=port
+            )
+        if port in self.half_open and segment.ack == self.initial_seq + 1:
+            self.half_open.discard(port)
             self.open.add(port)
         if port not in self.open:
             return bounced(segment)
@@ -52,21 +54,21 @@
         self.received.append((port, segment.seq))
         end = segment.seq + segment.size
         return answer(
-            data=b"y", seq=self.first_seq + segment.seq, ack=end, port=port
+            data=b"y", seq=self.initial_seq + segment.seq, ack=end, port=port
         )
 
 
 class Host(Struct, eq=False):
-    """A host of a backend server; ``agent`` is None while it is away."""
+    """A host of a backend server; ``agent`` is None while it does not run."""
 
     ip: str
     agent: AgentNode | None = None
     server: Server | None = None
     entry: ServerEntry | None = None
-    dark: bool = False
-    lapsed: bool = False
-    away_since: float = float("inf")
-    disturbed_at: float = float("-inf")
+    powered_off: bool = False
+    cut_from_store: bool = False
+    agent_down_since: float = float("inf")
+    cut_until: float = float("-inf")
 
 
 class Caller(Struct, eq=False):
@@ -79,11 +81,11 @@
 
 
 class Network:
-    """Carries everything between the nodes.
+    """Carries packets and messages between the nodes.
 
     Attributes:
-        loss: Share of the packets that are lost, and that are doubled.
-        late: Share of the packets that are late.
+        loss: Share of packets that are lost; also the share that is duplicated.
+        late: Share of packets that are delayed.
     """
 
     def __init__(self, seed, loss, late):
@@ -94,8 +96,8 @@
         self.order = itertools.count()
         self.revision = 1
         self.cuts = {}
-        self.turned_away = {}
-        self.missed = {ip: [] for ip in BALANCERS}
+        self.store_cut_until = {}
+        self.unread_events = {ip: [] for ip in BALANCERS}
         self.balancers = {}
         self.hosts = {ip: Host(ip) for ip in HOSTS}
 
@@ -125,10 +127,10 @@
             self.later(self.rng.uniform(0.1, 2.0) if late else 0.002, action)
 
     def publish(self, ip, entry):
-        self.hosts[ip].lapsed = False
+        self.hosts[ip].cut_from_store = False
         self.hosts[ip].entry = entry
         self.revision += 1
-        self._tell_all(
+        self._publish_event(
             lambda node, at=self.revision: node.fleet.on_entry(
                 entry, at, self.now
             )
@@ -136,28 +138,28 @@
 
     def remove(self, server_id):
         self.revision += 1
-        self._tell_all(
+        self._publish_event(
             lambda node, at=self.revision: node.fleet.on_removed(
                 server_id, at, self.now
             )
         )
 
-    def _tell_all(self, news):
-        for missed in self.missed.values():
-            missed.append(news)
+    def _publish_event(self, event):
+        for unread in self.unread_events.values():
+            unread.append(event)
 
     def _serve_store(self, ip):
         node = self.balancers[ip]
-        if self.turned_away.get(ip, 0.0) > self.now:
+        if self.store_cut_until.get(ip, 0.0) > self.now:
             node.board.store_failed_at = self.now
             return
-        for news in self.missed[ip]:
-            news(node)
-        self.missed[ip].clear()
+        for event in self.unread_events[ip]:
+            event(node)
+        self.unread_events[ip].clear()
 
     def _confirm(self, ip):
         node = self.balancers[ip]
-        if self.turned_away.get(ip, 0.0) > self.now:
+        if self.store_cut_until.get(ip, 0.0) > self.now:
             node.finder.confirmer.on_failed(self.now)
             node.board.store_failed_at = self.now
             return
@@ -175,19 +177,19 @@
                     self.to_caller(ip, raw)
                 case ef.CheckHost(host):
                     reach = self._reach(ip, host)
-                    check = partial(self._checked, ip, host, reach)
+                    check = partial(self._on_host_checked, ip, host, reach)
                     self.later(0.25 if reach is Reach.SILENT else 0.0, check)
                 case ef.ConfirmView():
                     self.later(0.01, partial(self._confirm, ip))
 
-    def _checked(self, ip, host, reach):
+    def _on_host_checked(self, ip, host, reach):
         node = self.balancers[ip]
         effects = node.on_host_checked(host, reach, self.now)
         self.perform_balancer(ip, effects)
 
     def _reach(self, ip, host):
         cut = max(self.cuts.get(way, 0.0) for way in ((ip, host), (host, ip)))
-        if self.hosts[host].dark or cut > self.now:
+        if self.hosts[host].powered_off or cut > self.now:
             return Reach.SILENT
         away = self.hosts[host].agent is None
         return Reach.REFUSED if away else Reach.ACCEPTED
@@ -214,7 +216,7 @@
                 case ef.SendBackend(raw):
                     self._at_server(host, raw)
                 case ef.CheckBackend(sample):
-                    check = partial(self._look, host, bool(sample))
+                    check = partial(self._check_backend, host, bool(sample))
                     self.later(0.002, check)
 
     def _at_balancer(self, host, ip, raw):
@@ -235,7 +237,7 @@
         if out is not None and agent is not None:
             self.perform_agent(host, agent.on_backend(out, self.now))
 
-    def _look(self, host, sampled):
+    def _check_backend(self, host, sampled):
         agent, server = self.hosts[host].agent, self.hosts[host].server
         if agent is not None:
             listens = server is not None and server.listens
--- a/notchhoist/flows/tests/test_resting_ends.py
+++ b/notchhoist/flows/tests/test_resting_ends.py
@@ -1,53 +1,58 @@
-"""However a server ends, its flows are reset while they rest.
+"""Idle flows of a server are reset soon after it exits, whatever the cause.
 
-Out of use, each flow waits for its next request, which the reset then cuts.
+With the mechanism ``resting`` disabled, such a flow is reset only when its next
+request arrives, and that request is lost.
 """
 
 import pytest
 
 from notchhoist.flows.model.mechanisms import ALL
-from notchhoist.flows.tests.history import World
+from notchhoist.flows.tests.history import Simulation
 from notchhoist.flows.tests.network import HOSTS
 
 HOST = HOSTS[0]
-ENDS = {
+SERVER_EXITS = {
     "crash": lambda world: world.crash(HOST),
     "drained": lambda world: world.drain(HOST),
-    "new id at the host": lambda world: world.flap(HOST, 0.1, same_id=False),
-    "new start, same id": lambda world: world.flap(HOST, 0.1, same_id=True),
-    "another service": lambda world: world.replace(HOST),
+    "new id at the host": lambda world: world.restart_server(
+        HOST, 0.1, same_id=False
+    ),
+    "new start, same id": lambda world: world.restart_server(
+        HOST, 0.1, same_id=True
+    ),
+    "another service": lambda world: world.reassign_host(HOST),
     "dark host": lambda world: world.power_off(HOST),
-    "server and agent": lambda world: world.leave(HOST, 60.0),
+    "server and agent": lambda world: world.stop_server_and_agent(HOST, 60.0),
 }
-BOUND_S = {"crash": 1.5, "dark host": 3.5, "new start, same id": 1.0}
+RESET_WITHIN_S = {"crash": 1.5, "dark host": 3.5, "new start, same id": 1.0}
 
 
-def rested(end, uses, for_s):
-    """Returns which of the flows at a server that ends are reset."""
-    world = World(0, uses=uses)
+def reset_flows(end, uses, for_s):
+    """Stops a server and returns for each of its flows whether it was reset."""
+    world = Simulation(0, uses=uses)
     for _ in range(8):
         world.open()
     ports = sorted(world.hosts[HOST].server.open)
     assert ports
-    ENDS[end](world)
+    SERVER_EXITS[end](world)
     world.run(for_s)
     assert not world.wrong
     return [world.callers[port].dead for port in ports]
 
 
-@pytest.mark.parametrize("end", ENDS)
-def test_flows_that_rest_are_reset(end):
-    assert all(rested(end, ALL, BOUND_S.get(end, 9.0)))
+@pytest.mark.parametrize("end", SERVER_EXITS)
+def test_idle_flows_are_reset(end):
+    assert all(reset_flows(end, ALL, RESET_WITHIN_S.get(end, 9.0)))
 
 
-@pytest.mark.parametrize("end", ENDS)
-def test_out_of_use_they_are_not(end):
-    assert not any(rested(end, ALL.without(["resting"]), 9.0))
+@pytest.mark.parametrize("end", SERVER_EXITS)
+def test_idle_flows_are_kept_with_the_mechanism_disabled(end):
+    assert not any(reset_flows(end, ALL.without(["resting"]), 9.0))
 
 
-def test_a_dark_host_is_told_from_an_own_loss_where_nothing_else_rests():
-    """A balancer that hears nobody takes the silence for its own."""
-    world = World(0)
+def test_host_without_power_is_told_from_isolation_without_other_flows():
+    """A balancer that receives nothing at all considers itself isolated."""
+    world = Simulation(0)
     world.open()
     world.run(0.5)
     [host] = [item for item in world.hosts.values() if item.server.open]
--- a/notchhoist/flows/tests/test_resting_history.py
+++ b/notchhoist/flows/tests/test_resting_history.py
@@ -1,13 +1,14 @@
-"""No flow that is open at a living server is reset, whatever happens.
+"""No flow that is open at a running server is reset, whatever happens.
 
-Generated histories over restarts, flaps, reuse of hosts, a store that turns
-some away, entries that lapse, one-way cuts and lost, doubled and late words.
+The generated histories have restarts, reassigned hosts, balancers that are cut
+off from the store, servers that are unlisted, one-way network cuts, and lost,
+duplicated and delayed packets.
 """
 
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
-from notchhoist.flows.tests.history import World
+from notchhoist.flows.tests.history import Simulation
 from notchhoist.flows.tests.network import BALANCERS, HOSTS
 
 hosts = st.sampled_from(HOSTS)
@@ -42,8 +43,8 @@
 )
 
 
-def apply(world, event):
-    """Brings one event about."""
+def apply_event(world, event):
+    """Applies one event to a simulation."""
     match event:
         case ("open", count, twice):
             for _ in range(count):
@@ -57,13 +58,13 @@
         case ("crash", ip):
             world.crash(ip)
         case ("flap", ip, away_s, same_id):
-            world.flap(ip, away_s, same_id)
+            world.restart_server(ip, away_s, same_id)
         case ("replace", ip, away_s):
-            world.replace(ip, away_s)
+            world.reassign_host(ip, away_s)
         case ("restart agent", ip, away_s, planned):
             world.stop_agent(ip, away_s, planned)
         case ("leave", ip):
-            world.leave(ip, 7.0)
+            world.stop_server_and_agent(ip, 7.0)
         case ("late opening", number):
             ports = sorted(world.callers)
             world.open_late(ports[number % len(ports)])
@@ -74,12 +75,12 @@
         case ("power", ip, for_s):
             world.power_off(ip, for_s)
         case ("lapse", ip, for_s):
-            world.lapse(ip, for_s)
-        case ("store", ips, for_s, lapsed):
-            world.store_fails(ips, for_s)
+            world.unlist(ip, for_s)
+        case ("store", ips, for_s, unlisted):
+            world.cut_store(ips, for_s)
             outage = ips == set(BALANCERS)
-            for ip in lapsed:
-                world.lapse(ip, for_s + 1.5, outage)
+            for ip in unlisted:
+                world.unlist(ip, for_s + 1.5, outage)
         case ("cut", one, other, forth):
             ways = (one, other) if forth else (other, one)
             world.cut(*ways, 2.0)
@@ -90,27 +91,27 @@
 
 
 def play(history, seed, loss, late):
-    world = World(seed, loss, late)
+    world = Simulation(seed, loss, late)
     for _ in range(4):
         world.open()
     for event in history:
-        apply(world, event)
+        apply_event(world, event)
     world.run(4.0)
     return world
 
 
 ONE, TWO, _ = HOSTS
 
-KEPT = [
-    # A server closes its listener, and its agent was told so.
+REGRESSIONS = [
+    # A server closes its listener; its agent was informed that it drains.
     [("drain", ONE, True), ("rest", 4.0)],
-    # It was not told, since its balancer was turned away.
+    # The agent was not informed, since its balancer was cut from the store.
     [
         ("open", 1, False),
         ("store", {BALANCERS[1]}, 3.0, set()),
         ("drain", ONE, True),
     ],
-    # Two servers accepted a flow; the other one's agent is new, or dies.
+    # Two servers accepted a flow; the other one or its agent fails.
     [
         ("power", TWO, 0.3),
         ("rest", 0.2),
@@ -119,7 +120,7 @@
     ],
     [("open", 3, True), ("rest", 0.2), ("crash", TWO)],
     [("rest", 0.2), ("open", 1, True), ("cut", TWO, BALANCERS[0], False)],
-    # A late opening is accepted by a server that ends, and given back late.
+    # A delayed opening is accepted by a server that exits, and returned late.
     [
         ("open", 1, False),
         ("power", ONE, 0.3),
@@ -129,7 +130,8 @@
         ("ask", 0, 2),
         ("leave", ONE),
     ],
-    # A balancer learns at once that a host went to another service and back.
+    # A balancer learns at the same time that a host was reassigned to another
+    # service and back.
     [
         ("open", 1, False),
         ("store", {BALANCERS[0]}, 3.0, set()),
@@ -137,22 +139,22 @@
         ("power", TWO, 0.3),
         ("open", 3, False),
     ],
-    # An entry lapses while its server lives.
+    # A running server is unlisted.
     [("lapse", ONE, 1.0)],
     [
         ("restart agent", ONE, 0.8, False),
         ("open", 2, False),
         ("lapse", ONE, 1.0),
     ],
-    # Some flows end with an incarnation, others have begun since.
+    # Some flows end with an incarnation of the server, others start after it.
     [("flap", ONE, 0.3, True), ("open", 4, False), ("ask", 0, 1)],
 ]
-"""Histories that reset a living flow when one of the guards is taken out."""
+"""Histories in which an open flow is reset if one of the guards is removed."""
 
 
 def kept(test):
-    """Plays the histories that were kept with a few seeds each."""
-    for history in KEPT:
+    """Adds each of ``REGRESSIONS`` with a few seeds as explicit examples."""
+    for history in REGRESSIONS:
         for seed in (0, 1, 2, 3, 225):
             test = example(history, seed, 0.0, 0.0)(test)
     return test
@@ -175,7 +177,7 @@
     assert not play(history, seed, loss, late).wrong
 
 
-def test_flows_of_servers_that_end_are_reset_in_the_kept_histories():
-    """A change that resets nothing would reset no flow that lives."""
-    worlds = [play(history, 0, 0.0, 0.0) for history in KEPT]
+def test_flows_of_exited_servers_are_reset_in_the_regressions():
+    """Code that resets no flow at all would pass the test above."""
+    worlds = [play(history, 0, 0.0, 0.0) for history in REGRESSIONS]
     assert any(world.resets for world in worlds)
