--- a/notchhoist/blackboards/requests.py
+++ b/notchhoist/blackboards/requests.py
@@ -1,4 +1,4 @@
-"""Requests on a blackboard: exchanges, runs, claims, outcomes."""
+"""State of requests: exchanges, runs, delegations, claims and outcomes."""
 
 import enum
 
@@ -9,12 +9,14 @@
 
 @attrs.define
 class Exchange:
-    """A request of a caller as its flow sees it (RFC 7252, 4.2).
+    """A request of a flow and its answer (RFC 7252, section 4.2).
+
+    A retransmission of the request gets the same answer.
 
     Attributes:
         request: The request.
         at: Runtime clock of its arrival, seconds.
-        reply: The final answer, or None before it.
+        reply: The encoded final answer, or None while there is none.
     """
 
     request: wire.CoapMessage
@@ -24,7 +26,12 @@
 
 @attrs.frozen
 class LocalOrigin:
-    """The request came from a flow that this agent owns."""
+    """Origin of a request: a flow that this agent owns.
+
+    Attributes:
+        caller: Endpoint of the caller.
+        mid: Message ID of the request.
+    """
 
     caller: model.Endpoint
     mid: int
@@ -32,7 +39,12 @@
 
 @attrs.frozen
 class RemoteOrigin:
-    """A peer asked for the run, or for its outcome."""
+    """Origin of a request: another agent that wants a run or its outcome.
+
+    Attributes:
+        agent: Peer endpoint of the agent.
+        run: Number of the run at that agent.
+    """
 
     agent: model.Endpoint
     run: int
@@ -42,7 +54,18 @@
 
 
 class RunState(enum.Enum):
-    """Where a run stands."""
+    """State of a run.
+
+    NEW: not dispatched yet, or to be dispatched again.
+    QUEUED: waits for a slot of the local backend server.
+    CLAIMING: has a slot, waits for the grant of its witnesses.
+    STARTED: was handed to the local backend server.
+    DELEGATED: was given to another agent.
+    FENCING: is refused, waits for the fence of its witnesses.
+    ASKING: waits for the outcome from the agent that holds the grant.
+    DONE: has its outcome, moved to another agent with its flow, or was
+        returned to the agent that delegated it.
+    """
 
     NEW = "new"
     QUEUED = "queued"
@@ -56,30 +79,34 @@
 
 @attrs.define(eq=False)
 class Run:
-    """A request on its way to an outcome.
+    """The processing of one request, from its arrival to its outcome.
 
     Attributes:
-        number: Number of the run at this agent.
+        number: Identifies the run at this agent.
         caller: Endpoint of the caller.
         request: The request.
-        datagram: The caller's bytes.
+        datagram: The request as received from the caller.
         kind: Name of the kind of request.
         weight: Weight of the kind.
-        repeatable: The request may run more than once.
+        repeatable: The request may be executed more than once.
         arrived_at: Runtime clock of its arrival, seconds.
-        deadline: Runtime clock by which it has to be answered, seconds.
-        origins: Who waits for the outcome.
-        identity: Digest that names the request; empty where repeatable.
-        attempt: Digest that names this sending of it; likewise.
-        state: Where the run stands.
-        holds_slot: It has a slot of the local backend server.
-        started_at: Runtime clock when it was given to the backend server.
-        excluded: Agents that could not take it.
-        tries: How often it was started or delegated.
-        may_give_up: It may be tried elsewhere because it is slow here.
-        claim: Number of its claim, once it has one.
-        refusal: Why it is being given up on, once it is.
-        retry_after_s: When the caller may come back, seconds.
+        deadline: Runtime clock by which it must be answered, seconds.
+        origins: Flows and agents that wait for the outcome.
+        identity: Digest that identifies the request; empty if repeatable.
+        attempt: Digest that identifies this sending of the request by its
+            caller; empty if repeatable.
+        state: State of the run.
+        holds_slot: The run occupies a slot of the local backend server.
+        started_at: Runtime clock when it got a slot, or was handed to the
+            backend server, whichever is later, seconds.
+        excluded: Agents that it is not given to any more.
+        tries: Number of times that it was started or delegated.
+        may_give_up: It may be retried at another backend server if it is
+            slow here.
+        claim: Number of its last claim, or None.
+        refusal: Reason why it was refused or timed out; empty before.
+        retry_after_s: Time after which the caller may send it again,
+            seconds.
     """
 
     number: int
@@ -106,20 +133,20 @@
 
     @property
     def is_for_peer(self) -> bool:
-        """Whether another agent has given it to this one."""
+        """Whether another agent delegated the run to this one."""
         return isinstance(self.origins[0], RemoteOrigin)
 
 
 @attrs.define
 class Delegation:
-    """A run that a peer was asked to take.
+    """A run, or a query for its outcome, that was sent to another agent.
 
     Attributes:
         run: The run.
-        peer: The peer.
-        incarnation: Incarnation of the peer when it was asked.
-        sent_at: Runtime clock of the last sending, seconds.
-        message: The message, for sending it again.
+        peer: Peer endpoint of that agent.
+        incarnation: Last known incarnation of the peer at that time.
+        sent_at: Runtime clock of the last transmission, seconds.
+        message: The message, for retransmissions.
     """
 
     run: Run
@@ -131,16 +158,16 @@
 
 @attrs.define
 class ClaimState:
-    """A claim under way.
+    """A claim in progress: a vote of witnesses on a grant or a fence.
 
     Attributes:
-        run: Run that it is for.
+        run: Run that the claim is for.
         number: Number of the claim.
-        purpose: What it asks for.
-        claim: The count of votes.
-        asked_at: Runtime clock of the first asking, seconds.
-        sent_at: Runtime clock of the last asking, seconds.
-        holder: Agent that stands in the way, if any.
+        purpose: What is claimed: a grant or a fence.
+        claim: Counts the votes.
+        asked_at: Runtime clock of the first request for votes, seconds.
+        sent_at: Runtime clock of the last request for votes, seconds.
+        holder: Agent whose grant prevents this claim, or None.
     """
 
     run: Run
@@ -154,14 +181,15 @@
 
 @attrs.define
 class Outcome:
-    """How a request that must not be repeated ended here.
+    """How a request ended; stored if the request is not repeatable.
 
     Attributes:
-        attempt: Digest of the attempt that ended so.
+        attempt: Digest of the attempt that had this outcome.
         status: The outcome.
         response: The backend server's response, or None.
-        at: Runtime clock, seconds.
-        retry_after_s: When the caller may come back, seconds.
+        at: Runtime clock when the request ended, seconds.
+        retry_after_s: Time after which the caller may send it again,
+            seconds.
     """
 
     attempt: bytes
--- a/notchhoist/controllers/claims.py
+++ b/notchhoist/controllers/claims.py
@@ -1,4 +1,4 @@
-"""Claims: gathering grants and fences from the witnesses of a request."""
+"""Claims: collects grants and fences from the witnesses of a request."""
 
 import random
 from collections.abc import Callable
@@ -8,23 +8,24 @@
 from notchhoist import model, parts
 from notchhoist.blackboards import AgentBoard, ClaimState, Count, Run
 
-RESEND_S = 0.1
-"""A witness that has not answered is asked again after this time, seconds."""
+RESEND_INTERVAL_S = 0.1
+"""Time after which a request to a silent witness is sent again, seconds."""
 
-GIVE_UP_S = 0.4
-"""A claim without a majority after this time is lost, seconds."""
+CLAIM_TIMEOUT_S = 0.4
+"""Time after which a claim without a majority is lost, seconds."""
 
-CLAIM_BITS = 62
+CLAIM_NUMBER_BITS = 62
 
 
 @attrs.define
 class ClaimKeeper:
-    """Asks witnesses, counts their verdicts, and is a witness itself.
+    """Collects the votes of witnesses, and votes as a witness itself.
 
     Attributes:
-        board: Everything that the agent knows.
+        board: State of the agent.
         rng: Source of claim numbers.
-        on_settled: Called with each claim that is won or lost.
+        on_settled: Called with each claim that is won or lost: its state,
+            whether it is won, and the runtime clock.
     """
 
     board: AgentBoard
@@ -34,10 +35,20 @@
     )
 
     def start(self, run: Run, purpose: model.Purpose, now: float) -> None:
-        """Begins to claim a grant, or a fence, for a run."""
+        """Starts a claim of a grant or a fence for a run.
+
+        A fence reuses the number of the run's earlier claim, so that the
+        witnesses let the run fence a grant of its own. The claim is lost at
+        once while this agent does not know which sets of agents count.
+
+        Args:
+            run: The run.
+            purpose: What to claim.
+            now: Runtime clock, seconds.
+        """
         state = ClaimState(
             run=run,
-            number=self.rng.getrandbits(CLAIM_BITS),
+            number=self.rng.getrandbits(CLAIM_NUMBER_BITS),
             purpose=purpose,
             claim=parts.Claim(sets=self.witness_sets(run.identity)),
             asked_at=now,
@@ -50,31 +61,34 @@
         if not self.board.sets_known:
             self._settle(state, False, now)
             return
-        self._ask_missing(state, now)
+        self._request_missing_votes(state, now)
         self._settle_if_decided(state, now)
 
     def witness_sets(
         self, identity: bytes
     ) -> tuple[tuple[model.Endpoint, ...], ...]:
-        """Returns the witnesses of an identity in each set that counts."""
+        """Returns the witnesses of an identity in each valid set of agents.
+
+        These are the current set and the earlier ones that still count.
+        """
         service = self.board.service
         current = service.agents() if service else ()
         groups = [current, *self.board.sets]
         chosen = [parts.witnesses_of(identity, group) for group in groups]
         return tuple(dict.fromkeys(group for group in chosen if group))
 
-    def _ask_missing(self, state: ClaimState, now: float) -> None:
+    def _request_missing_votes(self, state: ClaimState, now: float) -> None:
         state.sent_at = now
-        request = self._request(state.run, state.purpose, state.number)
+        request = self._make_request(state.run, state.purpose, state.number)
         for witness in state.claim.voters():
             if witness in state.claim.votes:
                 continue
             if witness == self.board.identity.peer:
-                self._vote_myself(state, request, now)
+                self._cast_own_vote(state, request, now)
             else:
                 self.board.send(witness, request)
 
-    def _request(
+    def _make_request(
         self, run: Run, purpose: model.Purpose, number: int
     ) -> model.GrantRequest:
         return model.GrantRequest(
@@ -87,10 +101,10 @@
         )
 
     def release(self, run: Run, now: float) -> None:
-        """Gives back the grant of a run that did not start."""
+        """Releases the grant of a run that the backend server did not start."""
         if run.claim is None:
             return
-        request = self._request(run, model.Purpose.RELEASE, run.claim)
+        request = self._make_request(run, model.Purpose.RELEASE, run.claim)
         run.claim = None
         groups = self.witness_sets(run.identity)
         for witness in dict.fromkeys(node for g in groups for node in g):
@@ -99,7 +113,7 @@
             else:
                 self.board.send(witness, request)
 
-    def _vote_myself(
+    def _cast_own_vote(
         self, state: ClaimState, request: model.GrantRequest, now: float
     ) -> None:
         own = self.board.identity.peer
@@ -112,7 +126,7 @@
     def on_request(
         self, sender: model.Endpoint, request: model.GrantRequest, now: float
     ) -> None:
-        """Answers as a witness."""
+        """Votes on the claim of an agent; a release gets no reply."""
         decision = self._decide(sender, request, now)
         if request.purpose is model.Purpose.RELEASE:
             return
@@ -158,7 +172,7 @@
     def on_reply(
         self, sender: model.Endpoint, reply: model.GrantReply, now: float
     ) -> None:
-        """Counts a witness's verdict."""
+        """Counts the verdict of a witness, and settles the claim if decided."""
         state = self.board.claims.get(reply.claim)
         if state is None or state.purpose is not reply.purpose:
             return
@@ -188,20 +202,20 @@
     def _settle(self, state: ClaimState, won: bool, now: float) -> None:
         if self.board.claims.pop(state.number, None) is None:
             return
-        self.board.counters[_count_of(state.purpose, won)] += 1
+        self.board.counters[_counter_of(state.purpose, won)] += 1
         self.on_settled(state, won, now)
 
     def tick(self, now: float) -> None:
-        """Asks silent witnesses again and gives up old claims."""
+        """Resends requests to silent witnesses and ends old claims as lost."""
         for state in list(self.board.claims.values()):
-            if now - state.asked_at > GIVE_UP_S:
+            if now - state.asked_at > CLAIM_TIMEOUT_S:
                 self._settle(state, False, now)
-            elif now - state.sent_at > RESEND_S:
-                self._ask_missing(state, now)
+            elif now - state.sent_at > RESEND_INTERVAL_S:
+                self._request_missing_votes(state, now)
                 self._settle_if_decided(state, now)
 
 
-def _count_of(purpose: model.Purpose, won: bool) -> Count:
+def _counter_of(purpose: model.Purpose, won: bool) -> Count:
     if purpose is model.Purpose.FENCE:
         return Count.FENCES_WON if won else Count.FENCES_LOST
     return Count.GRANTS_WON if won else Count.GRANTS_LOST
--- a/notchhoist/controllers/delegating.py
+++ b/notchhoist/controllers/delegating.py
@@ -1,7 +1,7 @@
-"""Delegation: requests that run at another agent's backend server.
+"""Delegation: requests that run at the backend server of another agent.
 
-The owner of a flow stays the one that answers the caller. A peer that has no
-free slot says so at once and has started nothing.
+The agent that owns the flow still answers the caller. A peer without a free
+slot refuses at once and has started nothing.
 """
 
 import attrs
@@ -19,11 +19,11 @@
 from notchhoist.controllers.loads import LoadKeeper
 from notchhoist.controllers.running import RunKeeper
 
-RESEND_S = 0.4
-"""A peer that has not answered is asked again after this time, seconds."""
+RESEND_INTERVAL_S = 0.4
+"""Time after which a message to a silent peer is sent again, seconds."""
 
-ASK_TIMEOUT_S = 0.5
-"""A holder of a grant that is silent this long is given up, seconds."""
+OUTCOME_TIMEOUT_S = 0.5
+"""Longest wait for the outcome from the holder of a grant, seconds."""
 
 MAX_REFUSALS = 3
 REPLY_CAPACITY = 4096
@@ -31,13 +31,13 @@
 
 @attrs.define
 class DelegationKeeper:
-    """Gives runs to peers and takes runs of peers.
+    """Delegates runs to peers and accepts runs of peers.
 
     Attributes:
-        board: Everything that the agent knows.
-        loads: The load of the peers.
-        exchanges: The message layer, which makes runs.
-        runs: The runs.
+        board: State of the agent.
+        loads: Load and liveness of the peers.
+        exchanges: Message layer, which makes runs.
+        runs: Dispatches and ends the runs.
     """
 
     board: AgentBoard
@@ -46,15 +46,16 @@
     runs: RunKeeper
 
     def delegate(self, run: Run, may_queue: bool, now: float) -> bool:
-        """Gives a run to a peer.
+        """Delegates a run to a peer with a free slot.
 
         Args:
             run: The run.
-            may_queue: It may wait at the peer.
+            may_queue: If no peer has a free slot, the run may queue at the
+                least loaded one.
             now: Runtime clock, seconds.
 
         Returns:
-            False where no peer can take it.
+            False if no peer can take the run.
         """
         if not run.origins or isinstance(run.origins[0], RemoteOrigin):
             return False
@@ -76,7 +77,11 @@
             flow.delegates[upload_key(run.request)] = agent
 
     def delegate_assigned(self, run: Run, now: float) -> bool:
-        """Gives a later block to the peer that has the earlier ones."""
+        """Delegates a later block to the peer that took the earlier blocks.
+
+        Returns:
+            False if the upload is not delegated.
+        """
         flow = self.board.flows.get(run.caller)
         block = run.request.block1
         if flow is None or block is None:
@@ -95,7 +100,7 @@
     def give(
         self, run: Run, agent: model.Endpoint, may_queue: bool, now: float
     ) -> None:
-        """Gives a run to a certain peer."""
+        """Delegates a run to the given peer."""
         self.board.counters[Count.DELEGATED] += 1
         self.loads.note_sent(agent)
         run.state = RunState.DELEGATED
@@ -109,9 +114,9 @@
             may_queue=may_queue,
             may_give_up=run.may_give_up,
         )
-        self._send(run, agent, message, now)
+        self._send_and_track(run, agent, message, now)
 
-    def _send(
+    def _send_and_track(
         self,
         run: Run,
         agent: model.Endpoint,
@@ -128,20 +133,23 @@
         self.board.send(agent, message)
 
     def ask_outcome(self, run: Run, holder: model.Endpoint, now: float) -> None:
-        """Asks the holder of a grant how the request ended."""
-        run.deadline = min(run.deadline, now + ASK_TIMEOUT_S)
+        """Queries the holder of a grant for the outcome of the request."""
+        run.deadline = min(run.deadline, now + OUTCOME_TIMEOUT_S)
         message = model.AskOutcome(
             service=self.board.identity.service,
             run=run.number,
             identity=run.identity,
             attempt=run.attempt,
         )
-        self._send(run, holder, message, now)
+        self._send_and_track(run, holder, message, now)
 
     def on_run_request(
         self, sender: model.Endpoint, message: model.RunRequest, now: float
     ) -> None:
-        """Takes a run for a peer, or says at once that there is no slot."""
+        """Accepts a run of a peer, or refuses it at once for lack of a slot.
+
+        A retransmission of the message gets the earlier reply again.
+        """
         origin = RemoteOrigin(sender, message.run)
         if origin in self.board.remote_runs:
             return
@@ -160,9 +168,9 @@
         run.deadline = min(run.deadline, now + message.remaining_ms / 1000)
         run.may_give_up = message.may_give_up
         self.board.remote_runs[origin] = run
-        self._enter(run, origin, message.may_queue, now)
+        self._accept_or_refuse(run, origin, message.may_queue, now)
 
-    def _enter(
+    def _accept_or_refuse(
         self, run: Run, origin: RemoteOrigin, may_queue: bool, now: float
     ) -> None:
         is_running = run.identity in self.board.by_identity
@@ -174,7 +182,7 @@
     def on_ask_outcome(
         self, sender: model.Endpoint, message: model.AskOutcome, now: float
     ) -> None:
-        """Tells, now or at its end, how a run of this agent ended."""
+        """Reports the outcome of a run of this agent, once it has ended."""
         origin = RemoteOrigin(sender, message.run)
         running = self.board.by_identity.get(message.identity)
         if running is not None:
@@ -196,7 +204,7 @@
         response: wire.CoapMessage | None,
         retry_after_s: int,
     ) -> None:
-        """Tells a peer how its run ended."""
+        """Sends a peer the outcome of its run, and stores the reply."""
         self.board.remote_runs.pop(origin, None)
         message = model.RunReply(
             service=self.board.identity.service,
@@ -213,7 +221,7 @@
     def on_run_reply(
         self, sender: model.Endpoint, reply: model.RunReply, now: float
     ) -> None:
-        """Takes a peer's word on how a run ended."""
+        """Processes the outcome that a peer reports for a run."""
         delegation = self.board.delegations.get(reply.run)
         if delegation is None or delegation.peer != sender:
             return
@@ -221,13 +229,11 @@
         run = delegation.run
         run.retry_after_s = max(1, reply.retry_after_s)
         if run.state is RunState.ASKING:
-            self._finish_asked(run, reply, now)
+            self._on_outcome(run, reply, now)
         elif run.state is RunState.DELEGATED:
-            self._settle(run, delegation.peer, reply, now)
+            self._on_result(run, delegation.peer, reply, now)
 
-    def _finish_asked(
-        self, run: Run, reply: model.RunReply, now: float
-    ) -> None:
+    def _on_outcome(self, run: Run, reply: model.RunReply, now: float) -> None:
         status = reply.status
         if status is model.RunStatus.ANSWERED:
             self._finish_answered(run, reply, now)
@@ -247,7 +253,7 @@
             return
         self.runs.finish(run, model.RunStatus.ANSWERED, response, now)
 
-    def _settle(
+    def _on_result(
         self,
         run: Run,
         peer: model.Endpoint,
@@ -258,15 +264,18 @@
         if reply.status is model.RunStatus.ANSWERED:
             self._finish_answered(run, reply, now)
         elif reply.status is model.RunStatus.NO_SLOT:
-            self._after_refusal(run, now)
+            self._on_no_slot(run, now)
         elif reply.status is model.RunStatus.TIMED_OUT:
             run.state = RunState.NEW
             self.runs.retry(run, now)
         else:
             self.runs.finish(run, reply.status, None, now)
 
-    def _after_refusal(self, run: Run, now: float) -> None:
-        """A refusal for lack of a slot started no work: not charged."""
+    def _on_no_slot(self, run: Run, now: float) -> None:
+        """Handles a refusal for lack of a slot.
+
+        It does not count as a retry, because no work was started.
+        """
         run.state = RunState.NEW
         block = run.request.block1
         if block is not None and block[0] > 0:
@@ -275,7 +284,7 @@
             self.runs.dispatch(run, now)
 
     def tick(self, now: float) -> None:
-        """Asks silent peers again and gives up dead ones."""
+        """Resends messages to silent peers and handles runs of lost peers."""
         for number, delegation in list(self.board.delegations.items()):
             if delegation.run.state is RunState.DONE:
                 del self.board.delegations[number]
@@ -285,7 +294,7 @@
                 self._resend_if_due(delegation, now)
 
     def _resend_if_due(self, delegation: Delegation, now: float) -> None:
-        if now - delegation.sent_at > RESEND_S:
+        if now - delegation.sent_at > RESEND_INTERVAL_S:
             delegation.sent_at = now
             self.board.send(delegation.peer, delegation.message)
 
@@ -297,7 +306,7 @@
 
     def _on_lost(self, number: int, delegation: Delegation, now: float) -> None:
         run = delegation.run
-        if self._must_stay(run):
+        if self._is_bound_to_peer(run):
             current = self.loads.incarnation_of(delegation.peer)
             delegation.incarnation = current
             self._resend_if_due(delegation, now)
@@ -311,8 +320,8 @@
         else:
             self.runs.refuse(run, "peer_lost", now)
 
-    def _must_stay(self, run: Run) -> bool:
-        """Tells whether only this peer's backend server has earlier blocks."""
+    def _is_bound_to_peer(self, run: Run) -> bool:
+        """Tells whether the peer's backend server alone has earlier blocks."""
         block = run.request.block1
-        waits = run.state is RunState.DELEGATED
-        return waits and block is not None and block[0] > 0
+        is_delegated = run.state is RunState.DELEGATED
+        return is_delegated and block is not None and block[0] > 0
--- a/notchhoist/controllers/exchanges.py
+++ b/notchhoist/controllers/exchanges.py
@@ -1,9 +1,9 @@
 """Exchanges: the message layer of CoAP between a caller and its flow.
 
-Retransmissions are recognized here, answers find their own request, and what
-belongs to a stream passes through unchanged. A request that is slow is not
-acknowledged before its answer: the caller goes on retransmitting, so that
-another agent hears of it if this one dies.
+It detects retransmissions, matches answers to requests, and passes messages of
+streams through unchanged. A slow request is not acknowledged before its
+answer: the caller keeps retransmitting, so that another agent receives the
+request if this one fails.
 """
 
 from collections.abc import Callable
@@ -23,22 +23,22 @@
 )
 from notchhoist.controllers.loads import LoadKeeper
 
-EXCHANGES_PER_FLOW = 64
-OTHER_KIND = model.Kind(
+MAX_EXCHANGES_PER_FLOW = 64
+DEFAULT_KIND = model.Kind(
     name="other", method="", path="", weight=1, repeatable=False
 )
-STREAM_SEND_S = 1.0
+STREAM_SEND_TIMEOUT_S = 1.0
 
 
 @attrs.define
 class ExchangeKeeper:
-    """Takes the datagrams of owned flows and answers callers.
+    """Processes the datagrams of owned flows and sends answers to callers.
 
     Attributes:
-        board: Everything that the agent knows.
-        loads: The load of the peers, and the balancers seen.
-        on_run: Takes each new run.
-        on_pinned: Called when a flow gets a stream.
+        board: State of the agent.
+        loads: Chooses the balancer that sends a datagram to a caller.
+        on_run: Called with each new run.
+        on_pinned: Called when a stream ties a flow to its backend server.
     """
 
     board: AgentBoard
@@ -47,7 +47,7 @@
     on_pinned: Callable[[Flow], None] = attrs.field(init=False)
 
     def on_datagram(self, flow: Flow, datagram: bytes, now: float) -> None:
-        """Takes a caller's datagram on a flow that this agent owns."""
+        """Processes a datagram that arrived on a flow that this agent owns."""
         service = self.board.service
         if service is not None and not service.kinds:
             self._pass_to_backend(flow.caller, datagram, now)
@@ -56,7 +56,7 @@
             message = wire.decode_coap(datagram)
         except model.CodecError:
             self.board.counters[Count.CALLER_MALFORMED] += 1
-            self.hint_owner(flow, now)
+            self.send_owner_hint(flow, now)
             return
         if message.is_request:
             self._on_request(flow, message, datagram, now)
@@ -64,10 +64,10 @@
             self._on_empty(flow, message, datagram, now)
         else:
             self.board.counters[Count.CALLER_MALFORMED] += 1
-            self.hint_owner(flow, now)
+            self.send_owner_hint(flow, now)
 
-    def hint_owner(self, flow: Flow, now: float) -> None:
-        """Tells the balancer where the flow lives, with nothing to send."""
+    def send_owner_hint(self, flow: Flow, now: float) -> None:
+        """Tells the balancer which agent owns the flow, without a datagram."""
         self.send_to_caller(flow, b"", now)
 
     def _on_empty(
@@ -78,28 +78,28 @@
             return
         if flow.streams or flow.restored:
             self._pass_to_backend(flow.caller, datagram, now)
-        self.hint_owner(flow, now)
+        self.send_owner_hint(flow, now)
 
     def _pass_to_backend(
         self, caller: model.Endpoint, datagram: bytes, now: float
     ) -> None:
         self.board.outbox.append(
-            model.SendBackend(caller, datagram, now + STREAM_SEND_S)
+            model.SendBackend(caller, datagram, now + STREAM_SEND_TIMEOUT_S)
         )
 
     def _on_request(
         self, flow: Flow, request: wire.CoapMessage, datagram: bytes, now: float
     ) -> None:
-        known = flow.exchanges.get(request.mid)
-        if known is not None and known.request.token == request.token:
-            self._on_retransmission(flow, known, now)
+        earlier = flow.exchanges.get(request.mid)
+        if earlier is not None and earlier.request.token == request.token:
+            self._on_retransmission(flow, earlier, now)
             return
         self.board.counters[Count.REQUESTS] += 1
         exchange = Exchange(request=request, at=now)
         flow.exchanges[request.mid] = exchange
-        if len(flow.exchanges) > EXCHANGES_PER_FLOW:
+        if len(flow.exchanges) > MAX_EXCHANGES_PER_FLOW:
             flow.exchanges.popitem(last=False)
-        self._note_upload(flow, request, now)
+        self._track_upload(flow, request, now)
         self.on_run(self._make_run(flow, request, datagram, now), now)
 
     def _on_retransmission(
@@ -109,9 +109,9 @@
         if exchange.reply is not None:
             self.send_to_caller(flow, exchange.reply, now)
         else:
-            self.hint_owner(flow, now)
+            self.send_owner_hint(flow, now)
 
-    def _note_upload(
+    def _track_upload(
         self, flow: Flow, request: wire.CoapMessage, now: float
     ) -> None:
         if request.block1 is None:
@@ -142,7 +142,11 @@
         origin: Origin,
         now: float,
     ) -> Run:
-        """Makes a run of a request, classified by the service's kinds."""
+        """Makes a run for a request.
+
+        The kinds of the service determine its weight, its deadline and
+        whether it is repeatable.
+        """
         kind = kind_of(self.board.service, request)
         run = Run(
             number=self.board.draw_number(),
@@ -167,11 +171,11 @@
         render: Callable[[wire.CoapMessage], bytes],
         now: float,
     ) -> None:
-        """Gives a request its final answer.
+        """Sends the final answer to a request, unless it has one already.
 
         Args:
             origin: Flow and message ID of the request.
-            render: Writes the answer to a request.
+            render: Encodes the answer to a request.
             now: Runtime clock, seconds.
         """
         flow = self.board.flows.get(origin.caller)
@@ -182,7 +186,7 @@
         self.send_to_caller(flow, exchange.reply, now)
 
     def send_to_caller(self, flow: Flow, datagram: bytes, now: float) -> None:
-        """Sends a datagram to the caller of a flow by a live balancer."""
+        """Sends a datagram to the caller of a flow through a live balancer."""
         balancer = self.loads.return_balancer(flow.balancer, now)
         if balancer is None:
             return
@@ -197,7 +201,7 @@
         )
 
     def open_stream(self, flow: Flow, token: bytes, now: float) -> None:
-        """Notes that a stream has begun."""
+        """Records a stream that the backend server has accepted."""
         was_pinned = flow.is_pinned()
         flow.streams[token] = now
         if not was_pinned:
@@ -210,10 +214,10 @@
         datagram: bytes,
         now: float,
     ) -> bool:
-        """Passes a stream's notification on.
+        """Forwards a notification of a stream to the caller.
 
         Returns:
-            False where the flow has no such stream.
+            False if the flow has no such stream.
         """
         flow = self.board.flows.get(caller)
         if flow is None:
@@ -231,7 +235,7 @@
     def on_opaque(
         self, caller: model.Endpoint, datagram: bytes, now: float
     ) -> None:
-        """Passes a datagram of an opaque service on."""
+        """Forwards a datagram of a service without kinds to the caller."""
         flow = self.board.flows.get(caller)
         if flow is not None:
             flow.last_seen = now
@@ -241,22 +245,22 @@
 def kind_of(
     service: model.Service | None, request: wire.CoapMessage
 ) -> model.Kind:
-    """Returns the first kind that a request matches.
+    """Returns the first kind of the service that matches a request.
 
-    A request that matches none has the least weight and may not be repeated.
+    A request without a match gets the lowest weight and is not repeatable.
     """
     segment = request.path[0] if request.path else ""
     for kind in service.kinds if service else ():
         if kind.method == request.method and kind.path in ("", segment):
             return kind
-    return OTHER_KIND
+    return DEFAULT_KIND
 
 
 def identity_of(caller: model.Endpoint, request: wire.CoapMessage) -> bytes:
-    """Returns the digest that names a request that must not be repeated.
+    """Returns the digest that identifies a request that is not repeatable.
 
-    It is the caller's own Request-Tag where there is one (with the number of
-    the block), else the token and the message ID.
+    It covers the caller's endpoint and its Request-Tag with the block number,
+    or, without a Request-Tag, its token and message ID.
     """
     tag = request.request_tag
     if tag is None:
@@ -267,11 +271,11 @@
 
 
 def attempt_of(identity: bytes, request: wire.CoapMessage) -> bytes:
-    """Returns the digest that names one sending of a request."""
+    """Returns the digest that identifies one sending of a request."""
     name = b"%d:%s" % (request.mid, request.token)
     return xxhash.xxh3_128_digest(identity + name)
 
 
 def upload_key(request: wire.CoapMessage) -> bytes:
-    """Returns what the blocks of one upload have in common."""
+    """Returns the key that all blocks of one upload share."""
     return (request.request_tag or b"") + "/".join(request.path).encode()
--- a/notchhoist/controllers/granting.py
+++ b/notchhoist/controllers/granting.py
@@ -1,4 +1,4 @@
-"""What becomes of a run once its grant or its fence is settled."""
+"""Results of claims: starts, refuses or ends a run after its claim."""
 
 import attrs
 
@@ -7,21 +7,31 @@
 from notchhoist.controllers.running import RunKeeper
 
 GRANT_LEASE_S = 1.0
-"""A grant is used within this time of asking for it, seconds, or not."""
+"""Validity of a grant or fence since its claim began, seconds.
+
+A restarted witness relies on it: votes that it lost are void by the time it
+asks its peers for records.
+"""
 
 
 @attrs.define(slots=False)
 class ClaimFollower:
-    """Goes on with runs whose witnesses have spoken.
+    """Continues runs whose claims are won or lost.
 
     Attributes:
-        runs: The runs.
+        runs: Dispatches and ends the runs.
     """
 
     runs: RunKeeper
 
     def on_claim(self, state: ClaimState, won: bool, now: float) -> None:
-        """Goes on with a run whose grant or fence is settled."""
+        """Continues a run whose claim is settled.
+
+        Args:
+            state: The claim.
+            won: Whether a majority of the witnesses agreed.
+            now: Runtime clock, seconds.
+        """
         run = state.run
         if state.purpose is model.Purpose.FENCE:
             self._on_fence(state, won, now)
@@ -39,15 +49,13 @@
     def _on_no_grant(self, state: ClaimState, won: bool, now: float) -> None:
         run = state.run
         self.runs.release(run, None)
-        if not won and self._is_other_and_alive(state.holder, now):
+        if not won and self._is_live_peer(state.holder, now):
             self._ask_holder(run, state.holder, now)
         else:
             self.runs.refuse(run, "no_grant", now)
-        self.runs.pump(now)
+        self.runs.start_queued(now)
 
-    def _is_other_and_alive(
-        self, holder: model.Endpoint | None, now: float
-    ) -> bool:
+    def _is_live_peer(self, holder: model.Endpoint | None, now: float) -> bool:
         if holder is None or holder == self.runs.board.identity.peer:
             return False
         return self.runs.loads.is_alive(holder, now)
@@ -66,7 +74,7 @@
             return
         if won and now - state.asked_at < GRANT_LEASE_S:
             self.runs.finish(run, model.RunStatus.NOT_RUN, None, now)
-        elif self._is_other_and_alive(state.holder, now):
+        elif self._is_live_peer(state.holder, now):
             self._ask_holder(run, state.holder, now)
         else:
             self.runs.finish(run, model.RunStatus.UNKNOWN, None, now)
--- a/notchhoist/controllers/outcomes.py
+++ b/notchhoist/controllers/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes: who is told how a request ended, now and when it is asked again."""
+"""Outcomes: reports how a request ended, also when it is sent again."""
 
 from collections.abc import Callable
 
@@ -18,9 +18,9 @@
 
 OUTCOME_CAPACITY = 100_000
 MAX_LATENCY_US = 600_000_000
-NO_REASON = "outcome_not_known"
+DEFAULT_REASON = "outcome_not_known"
 
-_COUNT_OF = {
+_COUNTERS = {
     model.RunStatus.ANSWERED: Count.ANSWERED,
     model.RunStatus.NO_SLOT: Count.BUSY,
     model.RunStatus.NOT_RUN: Count.NOT_RUN,
@@ -28,7 +28,7 @@
     model.RunStatus.TIMED_OUT: Count.UNKNOWN,
 }
 
-_REFUSAL_OF = {
+_REFUSALS = {
     model.RunStatus.NO_SLOT: wire.Refusal.BUSY,
     model.RunStatus.NOT_RUN: wire.Refusal.NOT_RUN,
     model.RunStatus.UNKNOWN: wire.Refusal.UNKNOWN,
@@ -38,12 +38,13 @@
 
 @attrs.define
 class OutcomeKeeper:
-    """Tells outcomes and remembers those of once-only requests.
+    """Reports outcomes and stores those of non-repeatable requests.
 
     Attributes:
-        board: Everything that the agent knows.
-        exchanges: The message layer.
-        reply: Tells a peer how its run ended.
+        board: State of the agent.
+        exchanges: Message layer, which answers callers.
+        reply: Sends a peer the outcome of a run: its origin, the status,
+            the response if any, and the time until a retry, seconds.
     """
 
     board: AgentBoard
@@ -52,8 +53,14 @@
         [RemoteOrigin, model.RunStatus, wire.CoapMessage | None, int], None
     ] = attrs.field(init=False)
 
-    def is_known(self, run: Run, now: float) -> bool:
-        """Joins a run, or repeats the outcome, of the same identity."""
+    def join_or_repeat(self, run: Run, now: float) -> bool:
+        """Joins a run of the same identity, or repeats its stored outcome.
+
+        A new attempt of a request that was not run is a new request.
+
+        Returns:
+            False if neither exists: the run has to be dispatched.
+        """
         running = self.board.by_identity.get(run.identity)
         if running is not None:
             running.origins.extend(run.origins)
@@ -61,44 +68,44 @@
         outcome = self.board.outcomes.get(run.identity)
         if outcome is None:
             return False
-        is_new_try = outcome.attempt != run.attempt
-        if is_new_try and outcome.status is model.RunStatus.NOT_RUN:
+        is_new_attempt = outcome.attempt != run.attempt
+        if is_new_attempt and outcome.status is model.RunStatus.NOT_RUN:
             return False
         for origin in run.origins:
-            self._tell(origin, outcome, "repeated", now)
+            self._notify(origin, outcome, "repeated", now)
         return True
 
-    def settle(
+    def complete(
         self,
         run: Run,
         status: model.RunStatus,
         response: wire.CoapMessage | None,
         now: float,
     ) -> None:
-        """Tells everybody who waits how a run ended."""
+        """Stores the outcome of a run and reports it to all its origins."""
         if response is not None:
             self._record_latency(run, now)
         self.board.note_decision(run, status.name.lower(), run.refusal, now)
         outcome = Outcome(run.attempt, status, response, now, run.retry_after_s)
         if run.identity:
-            self._remember(run.identity, outcome)
+            self._store(run.identity, outcome)
         for origin in run.origins:
-            self._tell(origin, outcome, run.refusal or NO_REASON, now)
+            self._notify(origin, outcome, run.refusal or DEFAULT_REASON, now)
 
-    def hand_back(self, run: Run, now: float) -> None:
-        """Tells the peer that a run was not started here.
+    def return_to_peer(self, run: Run, now: float) -> None:
+        """Tells the peer that delegated a run that it was not started here.
 
-        A copy of the request that had joined it gets "unknown": the peer may
-        still run it.
+        Retransmissions of the request that joined the run get the outcome
+        "unknown", because the peer may still run it.
         """
         unknown = Outcome(run.attempt, model.RunStatus.UNKNOWN, None, now)
         for origin in run.origins:
             if isinstance(origin, RemoteOrigin):
                 self.reply(origin, model.RunStatus.NO_SLOT, None, 1)
             else:
-                self._tell(origin, unknown, "handed_back", now)
+                self._notify(origin, unknown, "handed_back", now)
 
-    def _remember(self, identity: bytes, outcome: Outcome) -> None:
+    def _store(self, identity: bytes, outcome: Outcome) -> None:
         self.board.outcomes[identity] = outcome
         if len(self.board.outcomes) > OUTCOME_CAPACITY:
             self.board.outcomes.popitem(last=False)
@@ -110,7 +117,7 @@
             self.board.latencies[run.kind] = histogram
         histogram.record_value(max(1, int((now - run.arrived_at) * 1e6)))
 
-    def _tell(
+    def _notify(
         self, origin: Origin, outcome: Outcome, reason: str, now: float
     ) -> None:
         if isinstance(origin, RemoteOrigin):
@@ -118,7 +125,7 @@
                 origin, outcome.status, outcome.response, outcome.retry_after_s
             )
             return
-        self.board.counters[_COUNT_OF[outcome.status]] += 1
+        self.board.counters[_COUNTERS[outcome.status]] += 1
         if outcome.response is not None:
             response = outcome.response
             self.exchanges.answer(
@@ -127,7 +134,7 @@
                 now,
             )
             return
-        refusal = _REFUSAL_OF[outcome.status]
+        refusal = _REFUSALS[outcome.status]
         self.exchanges.answer(
             origin,
             lambda request: wire.refusal(
@@ -137,7 +144,7 @@
         )
 
     def expire(self, now: float) -> None:
-        """Forgets outcomes that are older than the witnesses' memory."""
+        """Removes outcomes older than the lifetime of witness records."""
         while self.board.outcomes:
             identity, outcome = next(iter(self.board.outcomes.items()))
             if now - outcome.at <= self.board.witness.lifetime_s:
--- a/notchhoist/controllers/remembering.py
+++ b/notchhoist/controllers/remembering.py
@@ -1,4 +1,4 @@
-"""Memory of a restarted agent: asked back from its peers."""
+"""Recovery of the records of a restarted witness from its peers."""
 
 from collections.abc import Callable
 
@@ -9,20 +9,25 @@
 from notchhoist.controllers.claims import ClaimKeeper
 from notchhoist.controllers.granting import GRANT_LEASE_S
 
-ASK_AFTER_S = GRANT_LEASE_S + 0.3
-"""Votes of an earlier incarnation are void after this time, seconds."""
+RECOVERY_DELAY_S = GRANT_LEASE_S + 0.3
+"""Time from a restart to the first request for records, seconds.
 
-ASK_AGAIN_S = 1.0
+By then the votes of the earlier incarnation are void, because a claim uses its
+votes within ``GRANT_LEASE_S``.
+"""
+
+RECOVERY_INTERVAL_S = 1.0
 
 
 @attrs.define
 class MemoryKeeper:
-    """Asks the peers of a young witness for what they remember.
+    """Recovers the records of this witness, and sends them to its peers.
 
     Attributes:
-        board: Everything that the agent knows.
-        claims: Which witnesses an identity has.
-        on_new_sets: Called when a peer told sets that were not known.
+        board: State of the agent.
+        claims: Determines the witnesses of an identity.
+        on_new_sets: Called when a peer reported earlier sets of agents that
+            this agent did not know.
     """
 
     board: AgentBoard
@@ -30,7 +35,7 @@
     on_new_sets: Callable[[], None]
 
     def tick(self, now: float) -> None:
-        """Asks the peers that have not told everything."""
+        """Requests records from peers that have not sent complete ones."""
         board = self.board
         if not board.witness.is_young(now):
             board.sets_known = True
@@ -38,16 +43,16 @@
             return
         if board.service is None or now < board.next_records_at:
             return
-        if now - board.witness.started_at < ASK_AFTER_S:
+        if now - board.witness.started_at < RECOVERY_DELAY_S:
             return
-        board.next_records_at = now + ASK_AGAIN_S
-        self._note_sets_known()
+        board.next_records_at = now + RECOVERY_INTERVAL_S
+        self._update_sets_known()
         for agent in board.known_agents():
             if board.witness.vouchers.get(agent, frozenset()) is not None:
                 board.send(agent, model.AskRecords(board.identity.service))
 
     def on_ask_records(self, sender: model.Endpoint, now: float) -> None:
-        """Tells a peer what this agent remembers."""
+        """Sends a peer the records of identities that it is a witness of."""
         witness = self.board.witness
         records = [
             parts.entry_of(identity, record, now)
@@ -64,11 +69,12 @@
         self.board.send(sender, message)
 
     def is_complete(self, now: float) -> bool:
-        """Tells whether nothing that counted can be missing here.
+        """Tells whether this witness has every record that still matters.
 
-        A young memory is complete once every other agent, each with a complete
-        memory itself, has told what it remembers. Two that were lost together
-        wait for each other in vain, and a lifetime makes them whole.
+        The records of a recently started witness are complete once every
+        other agent has sent its own and had complete records itself. Two
+        agents that restart at the same time never complete each other; their
+        records are complete after the memory lifetime.
         """
         witness = self.board.witness
         if not witness.is_young(now):
@@ -84,29 +90,29 @@
     def on_records(
         self, sender: model.Endpoint, message: model.Records, now: float
     ) -> None:
-        """Takes in what a peer remembers."""
+        """Merges what a peer sent, if this witness was started recently."""
         board = self.board
         if not board.witness.is_young(now) or board.service is None:
             return
         parts.take_in(board.witness, sender, message, now)
-        self._take_sets(message.sets, board.service, now)
+        self._merge_sets(message.sets, board.service, now)
         board.told_sets.add(sender)
-        self._note_sets_known()
+        self._update_sets_known()
 
-    def _take_sets(
+    def _merge_sets(
         self, sets: list[model.AgentSet], service: model.Service, now: float
     ) -> None:
         until = now + self.board.witness.lifetime_s
-        known = len(self.board.sets)
+        known_count = len(self.board.sets)
         for former in sets:
             agents = tuple(former.agents)
             if set(agents) != set(service.agents()):
                 self.board.sets.setdefault(agents, until)
-        if len(self.board.sets) > known:
+        if len(self.board.sets) > known_count:
             self.on_new_sets()
 
-    def _note_sets_known(self) -> None:
+    def _update_sets_known(self) -> None:
         others = self.board.other_agents()
-        told = sum(agent in self.board.told_sets for agent in others)
-        if told >= parts.majority_of(len(others) + 1) - 1:
+        reported = sum(agent in self.board.told_sets for agent in others)
+        if reported >= parts.majority_of(len(others) + 1) - 1:
             self.board.sets_known = True
--- a/notchhoist/controllers/tests/test_load.py
+++ b/notchhoist/controllers/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Placement under load, weights, sheds and drains."""
+"""Tests of request placement: load, weights, shed requests, drains."""
 
 import random
 
@@ -11,44 +11,47 @@
 
 
 @pytest.fixture(scope="module")
-def night():
+def overload():
     return rehearsal.run_night(deployment.HALLBOOK, 1.2, 8.0, seed=1)
 
 
-def test_no_promise_breaks_on_a_rehearsal_night(night):
-    assert night.over == 0
-    assert night.violations == 0
+def test_overload_breaks_no_guarantee(overload):
+    assert overload.over == 0
+    assert overload.violations == 0
 
 
-def test_heavy_bookings_do_better_and_rosters_are_not_starved(night):
+def test_weights_favor_bookings_without_starving_rosters(overload):
     share = {
-        kind: night.answered[kind]
-        / (night.answered[kind] + night.refused[kind])
+        kind: overload.answered[kind]
+        / (overload.answered[kind] + overload.refused[kind])
         for kind in ("booking", "roster")
     }
     assert share["booking"] > share["roster"] > 0.3
 
 
-def test_refusals_come_at_once_and_say_when_to_come_back(night):
-    median = night.refusal_latencies.get_value_at_percentile(50)
+def test_refusals_are_sent_at_once(overload):
+    median = overload.refusal_latencies.get_value_at_percentile(50)
     assert median < 100_000
 
 
-def test_no_booking_is_refused_at_half_load_although_servers_are_odd():
-    """One server is cold and one sheds; the others have room."""
-    ours = rehearsal.run_night(deployment.HALLBOOK, 0.5, 10.0, seed=2)
-    assert ours.refused["booking"] == 0
+def test_no_booking_is_refused_at_half_load():
+    """One server is in slow start and one sheds; the others have free slots."""
+    balanced = rehearsal.run_night(deployment.HALLBOOK, 0.5, 10.0, seed=2)
+    assert balanced.refused["booking"] == 0
 
 
-def test_a_blind_policy_refuses_bookings_at_half_load():
-    blind = rehearsal.run_night(
+def test_random_placement_refuses_bookings_at_half_load():
+    unbalanced = rehearsal.run_night(
         deployment.HALLBOOK, 0.5, 10.0, 2, baselines.random_placement
     )
-    assert blind.refused["booking"] > 0
+    assert unbalanced.refused["booking"] > 0
 
 
-def test_issue_4_a_shed_booking_is_run_elsewhere():
-    """It used to be "not run" although other servers had free slots."""
+def test_issue_4_shed_request_runs_at_another_server():
+    """A shed request runs at a server that has a free slot.
+
+    Guards against reporting it as "not run" instead.
+    """
     site = changes.make_site(seed=3)
     world = site.world
     world.run_until(world.callers_done, 100.0)
@@ -66,11 +69,11 @@
     assert world.history.check() == []
 
 
-def drained_site(seed, word):
-    """Drains the first server by one source of word; returns its site."""
+def drained_site(seed, start_drain):
+    """Starts a drain of the first server; returns the site and its agent."""
     site = changes.make_site(seed)
     agent = site.service.servers[0].agent
-    word(site, agent)
+    start_drain(site, agent)
     site.world.run(2.0)
     return site, agent
 
@@ -100,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    "word",
+    "start_drain",
     [
         by_document,
         by_host_list,
@@ -109,8 +112,8 @@
         by_document_with_a_late_host_list,
     ],
 )
-def test_a_leaving_server_gets_no_new_work(word):
-    site, agent = drained_site(4, word)
+def test_draining_server_gets_no_new_work(start_drain):
+    site, agent = drained_site(4, start_drain)
     world = site.world
     world.run(1.5)
     name = world.hosts[agent].name
@@ -135,7 +138,7 @@
 
 
 def slow_world(service_s, deadline_s):
-    """A deployment whose servers all turn slow after they were measured."""
+    """Makes a deployment whose servers all have the same service time."""
     world = chaos.World(random.Random(3))
     kinds = tuple(
         changes.attrs.evolve(kind, deadline_s=deadline_s)
@@ -148,8 +151,12 @@
     return world
 
 
-def test_issue_4_a_slow_server_that_no_peer_beats_keeps_its_request():
-    """Tries were given up after a third of the deadline, at every server."""
+def test_issue_4_slow_run_continues_if_no_peer_is_faster():
+    """A slow run continues if no other server is faster.
+
+    Guards against cancelling it after a third of its deadline, which would
+    happen at every server in turn.
+    """
     world = slow_world(service_s=3.0, deadline_s=6.0)
     task = Task("roster", "GET", chaos.PLAN.name, "r1")
     world.add_caller(model.Endpoint("172.22.0.1", 7), [task])
@@ -158,7 +165,7 @@
     assert len(world.history.started) == 1
 
 
-def test_a_repeatable_request_leaves_a_server_that_hangs():
+def test_repeatable_request_is_retried_if_its_server_hangs():
     world = slow_world(service_s=0.1, deadline_s=6.0)
     for number in range(20):
         task = Task("roster", "GET", chaos.PLAN.name, f"w{number:02}")
@@ -173,7 +180,7 @@
     assert {t.result for t in world.history.told} == {Result.ANSWERED}
 
 
-def test_a_planned_stop_waits_for_requests_in_progress():
+def test_planned_stop_waits_for_running_requests():
     world = chaos.World(random.Random(3))
     deployment.build_world(world, (chaos.PLAN,), service_s=1.0)
     chaos.trust_first_start(world)
--- a/notchhoist/controllers/tests/test_once.py
+++ b/notchhoist/controllers/tests/test_once.py
@@ -1,4 +1,4 @@
-"""At most once and a truthful "not run", failure by failure."""
+"""Tests of at-most-once execution and of the outcome "not run" under faults."""
 
 import random
 
@@ -29,7 +29,7 @@
     assert world.run_until(lambda: bool(world.history.started), 5.0)
 
 
-def agent_that_runs(world):
+def executing_agent(world):
     name = world.history.started[0].server
     return next(h.peer for h in world.hosts.values() if h.name == name)
 
@@ -57,15 +57,15 @@
 def test_agent_killed_during_the_run():
     world = make_world()
     run_until_started(world)
-    world.kill(agent_that_runs(world))
+    world.kill(executing_agent(world))
     assert finish(world) is Result.UNKNOWN
     assert len(world.history.started) == 1
 
 
-def test_agent_killed_during_the_run_breaks_the_naive_version():
+def test_agent_killed_during_the_run_breaks_the_baseline():
     world = make_world(adapt=baselines.without_memory)
     run_until_started(world)
-    world.kill(agent_that_runs(world))
+    world.kill(executing_agent(world))
     world.run_until(world.callers_done, 120.0)
     promises = [item.promise for item in world.history.check()]
     assert promises == ["at most once"]
@@ -75,7 +75,7 @@
     world = make_world()
     caller = world.add_caller(CALLER, [BOOKING])
     assert world.run_until(lambda: caller.current is not None, 1.0)
-    for peer in world.agents_of(world_service(world)):
+    for peer in world.agents_of(published_service(world)):
         if peer in world.hosts and not world.history.started:
             world.kill(peer)
             world.at(1.0, lambda peer=peer: world.start(peer))
@@ -83,17 +83,17 @@
     assert finish(world) in (Result.ANSWERED, Result.UNKNOWN, Result.NOT_RUN)
 
 
-def world_service(world):
+def published_service(world):
     balancer = world.hosts[world.entries[0]].node
     return balancer.board.config.store.services[chaos.PLAN.name]
 
 
-def test_agent_killed_after_the_answer_and_a_late_copy():
+def test_agent_killed_after_the_answer_and_a_late_retransmission():
     world = make_world()
     run_until_started(world)
     datagram = world.callers[CALLER].datagram
     assert finish(world) is Result.ANSWERED
-    world.kill(agent_that_runs(world))
+    world.kill(executing_agent(world))
     world.run(3.0)
     for _ in range(5):
         world.spray(chaos.PLAN.name, CALLER, [datagram])
@@ -102,7 +102,7 @@
     assert len(world.history.started) == 1
 
 
-def test_balancer_killed_in_mid_request():
+def test_balancers_killed_during_a_request():
     world = make_world()
     run_until_started(world)
     world.kill(world.entries.pop())
@@ -110,47 +110,50 @@
     assert finish(world) is Result.ANSWERED
 
 
-def test_a_balancer_that_wakes_late_does_not_bring_an_old_copy():
+def test_resumed_balancer_drops_stale_datagrams():
     world = make_world()
-    late = paused_with_a_copy(world)
+    entry = pause_balancer_with_backlog(world)
     assert finish(world) is Result.ANSWERED
     world.run(LONG_PAUSE_S)
-    assert not world.hosts[late].paused
+    assert not world.hosts[entry].paused
     assert world.history.check() == []
 
 
-def test_a_balancer_that_reads_its_old_sockets_runs_it_twice():
-    """Shown failing: the same run where stale datagrams are kept."""
+def test_resumed_balancer_with_backlog_runs_a_request_twice():
+    """Shows why a resumed balancer has to drop stale datagrams.
+
+    If it processes its socket backlog, the request runs a second time.
+    """
     world = make_world()
-    late = paused_with_a_copy(world)
-    world.hosts[late].keeps_backlog = True
+    entry = pause_balancer_with_backlog(world)
+    world.hosts[entry].keeps_backlog = True
     assert world.run_until(world.callers_done, 30.0)
     world.run(LONG_PAUSE_S)
     assert [item.promise for item in world.history.check()] == ["at most once"]
 
 
-def paused_with_a_copy(world):
+def pause_balancer_with_backlog(world):
     run_until_started(world)
-    late = world.entries.pop()
-    world.pause(late, LONG_PAUSE_S)
+    entry = world.entries.pop()
+    world.pause(entry, LONG_PAUSE_S)
     datagram = world.callers[CALLER].datagram
-    host = world.hosts[late]
+    host = world.hosts[entry]
     event = model.CallerDatagram(chaos.PLAN.name, CALLER, datagram)
     host.backlog.append(event)
-    return late
+    return entry
 
 
-def test_an_agent_that_wakes_late_with_a_grant_does_not_use_it():
+def test_resumed_agent_does_not_use_an_expired_grant():
     world = make_world()
-    owner = freeze_when(world, lambda node: node.board.claims)
+    owner = pause_when(world, lambda node: node.board.claims)
     world.run(LONG_PAUSE_S + 5.0)
     assert world.history.check() == []
     assert not world.hosts[owner].paused
     assert len(world.history.started) <= 1
 
 
-def freeze_when(world, condition):
-    """Pauses the first agent for which something holds."""
+def pause_when(world, condition):
+    """Pauses the first agent that meets a condition, and returns its peer."""
     world.add_caller(CALLER, [BOOKING])
     until = world.now + 5.0
     while world.now < until:
@@ -159,13 +162,13 @@
             if hasattr(host.node, "claims") and condition(host.node):
                 world.pause(peer, LONG_PAUSE_S)
                 return peer
-    raise AssertionError("it never held")
+    raise AssertionError("no agent met the condition")
 
 
-def test_two_witnesses_lost_means_unknown_not_a_second_run():
+def test_two_lost_witnesses_give_unknown_but_no_second_run():
     world = make_world()
     run_until_started(world)
-    agent = agent_that_runs(world)
+    agent = executing_agent(world)
     identity = next(iter(world.hosts[agent].node.board.by_identity))
     claims = world.hosts[agent].node.claims
     (witnesses,) = claims.witness_sets(identity)
@@ -176,13 +179,16 @@
     assert len(world.history.started) == 1
 
 
-def test_agents_replaced_one_after_another_lose_no_memory():
-    """Each is whole again before the next, by word of all the others."""
+def test_agents_restarted_in_turn_lose_no_records():
+    """Each agent has complete records again before the next one restarts.
+
+    It recovers them from all the other agents.
+    """
     world = make_world()
     run_until_started(world)
     assert finish(world) is Result.ANSWERED
     datagram = world.callers[CALLER].datagram
-    for agent in world_service(world).agents():
+    for agent in published_service(world).agents():
         world.kill(agent)
         world.start(agent)
         world.run(3.0)
@@ -196,9 +202,9 @@
     assert len(world.history.started) == 1
 
 
-def test_two_lost_together_do_not_call_themselves_whole():
+def test_two_agents_restarted_together_report_incomplete_records():
     world = make_world()
-    first, second, *_ = world_service(world).agents()
+    first, second, *_ = published_service(world).agents()
     for agent in (first, second):
         world.kill(agent)
     for agent in (first, second):
@@ -208,7 +214,7 @@
         assert not world.hosts[agent].node.memory.is_complete(world.now)
 
 
-def test_not_run_is_said_at_once_and_stays_true():
+def test_not_run_is_reported_at_once_and_stays_true():
     world = make_world()
     for peer, backend in world.backends.items():
         backend.draining = True
@@ -226,12 +232,12 @@
 
 
 @pytest.mark.parametrize("seed", [4, 11])
-def test_a_storm_of_faults_breaks_no_promise(seed):
+def test_frequent_faults_break_no_guarantee(seed):
     run = chaos.run_chaos(seed)
     assert run.world.history.check() == []
 
 
-def test_a_storm_of_faults_breaks_the_naive_version():
+def test_frequent_faults_break_the_baseline():
     broken = [
         seed
         for seed in (1, 3, 5)
--- a/notchhoist/controllers/tests/test_once_machine.py
+++ b/notchhoist/controllers/tests/test_once_machine.py
@@ -1,4 +1,4 @@
-"""State machine: faults and bookings in any order keep the promises."""
+"""Stateful property test: at-most-once execution under random faults."""
 
 import hypothesis
 from hypothesis import strategies
