--- a/notchhoist/daemon/flow_distances.py
+++ b/notchhoist/daemon/flow_distances.py
@@ -4,7 +4,7 @@
 
 from notchhoist.flows.balancer.distances import UNKNOWN
 from notchhoist.flows.balancer.node import BalancerNode
-from notchhoist.flows.decisions import placing, reaching
+from notchhoist.flows.decisions import server_selection, zone_distance
 
 
 def distance_rows(
@@ -39,6 +39,6 @@
     """Yields the services for which a distance is long."""
     for service, servers in sorted(node.board.by_service.items()):
         paces = [item.pace_ms for item in servers if item.pace_ms]
-        pace_s = placing.median(paces) / 1000
-        if reaching.far_costs(extra_s, pace_s, 0.0).is_long:
+        pace_s = server_selection.median(paces) / 1000
+        if zone_distance.remote_penalty(extra_s, pace_s, 0.0).is_significant:
             yield service
--- a/notchhoist/daemon/flow_pressure.py
+++ b/notchhoist/daemon/flow_pressure.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from notchhoist.flows.balancer.node import BalancerNode
-from notchhoist.flows.decisions import placing
+from notchhoist.flows.decisions import server_selection
 
 
 def pressure_rows(
@@ -17,8 +17,10 @@
     """
     board = node.board
     for service, servers in sorted(board.by_service.items()):
-        open_to = placing.open_to_new(servers, board.view.evacuated)
-        takes = placing.usable(open_to, now)
+        open_to = server_selection.outside_evacuated_zones(
+            servers, board.view.evacuated
+        )
+        takes = server_selection.usable_servers(open_to, now)
         ages = [now - item.heard_at for item in takes]
         openings = [
             item for item in board.openings.values() if item.service == service
@@ -38,5 +40,5 @@
 
 
 def _median_age(ages: list[float]) -> float | None:
-    age = placing.median(ages)
+    age = server_selection.median(ages)
     return round(age, 3) if ages and age < float("inf") else None
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -16,7 +16,7 @@
 from notchhoist.daemon.http_port import Reply
 from notchhoist.flows.agent.node import AgentNode
 from notchhoist.flows.balancer.node import BalancerNode
-from notchhoist.flows.decisions import placing
+from notchhoist.flows.decisions import server_selection
 from notchhoist.flows.model.fleet import Route, Server
 from notchhoist.flows.model.records import Records
 from notchhoist.flows.model.view import ZoneKey
@@ -125,11 +125,13 @@
 def _servers(node: BalancerNode, now: float) -> Iterator[Row]:
     for service, servers in node.board.by_service.items():
         paces = [item.pace_ms for item in servers if item.pace_ms]
-        median_ms = placing.median(paces)
-        open_to = placing.open_to_new(servers, node.board.view.evacuated)
-        takes = placing.usable(open_to, now)
+        median_ms = server_selection.median(paces)
+        open_to = server_selection.outside_evacuated_zones(
+            servers, node.board.view.evacuated
+        )
+        takes = server_selection.usable_servers(open_to, now)
         for server in servers:
-            size = placing.capacity(server, median_ms)
+            size = server_selection.effective_slots(server, median_ms)
             row = _server_row(server, service, size, server in takes, now)
             yield row | _bound_row(node, server, now)
 
--- a/notchhoist/daemon/tests/test_flow_state.py
+++ b/notchhoist/daemon/tests/test_flow_state.py
@@ -68,7 +68,7 @@
     node.fleet.on_listing(listed, 1, 0.0)
     node.on_caller(request(flags=SYN, port=1), 1.0)
     for _ in range(10):
-        node.board.busy_shares.note(crafting.SERVICE, busy=True)
+        node.board.busy_shares.record(crafting.SERVICE, busy=True)
     [row] = dump(node, "pressure", 1.0)
     assert (row["servers"], row["takes_new_flows"], row["slots"]) == (3, 2, 6)
     assert (row["running"], row["openings"], row["attempts"]) == (1, 1, 6)
--- a/notchhoist/flows/agent/backend_watch.py
+++ b/notchhoist/flows/agent/backend_watch.py
@@ -4,7 +4,7 @@
 
 from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
-from notchhoist.flows.decisions.failing import AnswerTimes
+from notchhoist.flows.decisions.failure_detection import AnswerTimes
 from notchhoist.flows.model.effects import CheckBackend, SendCaller
 from notchhoist.flows.model.held import Phase
 from notchhoist.flows.model.records import Count
@@ -58,7 +58,7 @@
         board = self.board
         if not board.uses.resting:
             return b""
-        idle_samples = [held.sample for _, held in board.resting()]
+        idle_samples = [held.sample for _, held in board.idle_flows()]
         open_samples = [
             held.sample
             for flow, held in board.flows.items()
@@ -125,11 +125,11 @@
                 b"",
                 "refuses connections",
                 takes_no_packets=ended,
-                leaving=board.is_leaving,
+                leaving=board.is_draining,
                 stopping=board.stopping,
                 flows=len(board.flows),
             )
-        if board.is_leaving:
+        if board.is_draining:
             return bool(ended)
         drains_unannounced = (
             ended is False and now - board.refused_since < UNANNOUNCED_DRAIN_S
@@ -145,7 +145,7 @@
         """
         board = self.board
         for flow, held in board.flows.items():
-            if board.uses.resting and board.rests(flow, held):
+            if board.uses.resting and board.is_idle(flow, held):
                 continue  # The survey probes the flow at once.
             if held.phase is Phase.OPEN:
                 held.phase = Phase.TRIED
--- a/notchhoist/flows/agent/bearing.py
+++ b/notchhoist/flows/agent/bearing.py
@@ -11,11 +11,11 @@
 from msgspec.structs import replace
 
 from notchhoist.flows.boards.agent_board import AgentBoard
-from notchhoist.flows.decisions.bearing import (
+from notchhoist.flows.decisions.slow_start import (
     WINDOW_S,
-    SlidingCount,
+    SlidingWindowCounter,
     cold_limit,
-    first_limit,
+    startup_limit,
 )
 from notchhoist.flows.model.messages import ServerState
 from notchhoist.flows.model.revisions import era_of
@@ -80,7 +80,7 @@
 
     board: AgentBoard
     limits: Limits = Limits()
-    handed: SlidingCount = field(default_factory=SlidingCount)
+    handed: SlidingWindowCounter = field(default_factory=SlidingWindowCounter)
 
     def update_state(self, state: ServerState, now: float) -> bool:
         """Applies a reported state; tells whether the server has restarted.
@@ -121,9 +121,9 @@
     def _update_draining(self, state: ServerState, now: float) -> None:
         """Records whether the server drains, and since when that is known."""
         board = self.board
-        if state.draining == (board.leaving_since is not None):
+        if state.draining == (board.draining_since is not None):
             return
-        board.leaving_since = now if state.draining else None
+        board.draining_since = now if state.draining else None
         outcome = "leaving" if state.draining else "in use"
         self._log_change(state, outcome, "backend server")
 
@@ -153,7 +153,7 @@
         The published entry may not show the restart for a second or more.
         """
         state = self.board.state
-        self.board.leaving_since = None
+        self.board.draining_since = None
         if state is not None:
             self.board.state = replace(state, draining=False)
             warm_at = now + state.bound_lasts_s
@@ -186,7 +186,7 @@
         balancers that ignore the drain, 108 new flows came after the time limit
         without this check and 0 with it.
         """
-        since = self.board.leaving_since
+        since = self.board.draining_since
         cutoff_s = CUTOFF_SHARE * self.limits.drain_s
         return since is not None and now - since >= cutoff_s
 
@@ -194,7 +194,7 @@
         """Returns why new flows are refused, for the log."""
         if self.board.evacuated_since is not None:
             return "zone evacuated"
-        if self.board.leaving_since is not None:
+        if self.board.draining_since is not None:
             return "backend server leaves"
         return "cold server bears no more"
 
@@ -207,15 +207,17 @@
             return max(1, int(slack or 0) - 1) if limited else None
         if not state.bound_per_s or now >= self.board.cold_until:
             return None
-        in_first = self.board.age_s(now) < WINDOW_S and not self.board.sees_all
+        in_first = (
+            self.board.age_s(now) < WINDOW_S and not self.board.knows_all_flows
+        )
         if in_first and slack is not None:
             overage = self.limits.cold_overage
-            return first_limit(state.bound_per_s, overage, slack)
+            return startup_limit(state.bound_per_s, overage, slack)
         return cold_limit(state.bound_per_s)
 
     def note_opening(self, now: float) -> None:
         """Counts a new flow that is offered to the server."""
-        self.handed.note(now)
+        self.handed.record(now)
 
     def is_past_evacuation_cutoff(self, now: float) -> bool:
         """Tells whether the evacuation also refuses unopened flows."""
--- a/notchhoist/flows/agent/flow_offers.py
+++ b/notchhoist/flows/agent/flow_offers.py
@@ -156,7 +156,7 @@
     def forget(self, flow: bytes) -> None:
         """Forgets an offered flow and its reserved slot."""
         self.board.flows.pop(flow, None)
-        self.board.promised.pop(flow, None)
+        self.board.reserved_until.pop(flow, None)
         self.offered.pop(flow, None)
 
     def on_accepted(self, held: HeldFlow, segment: Segment, now: float) -> None:
@@ -205,7 +205,7 @@
             return
         self.board.records.counters[Count.BACKEND_SILENT] += 1
         self.offered.pop(segment.flow, None)
-        self.board.promised.pop(segment.flow, None)
+        self.board.reserved_until.pop(segment.flow, None)
         self.watch.schedule_check(now)
         self.replies.return_packet(
             held.balancer, segment, "server is silent", now
--- a/notchhoist/flows/agent/refuser.py
+++ b/notchhoist/flows/agent/refuser.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from notchhoist.flows.boards.agent_board import AgentBoard
-from notchhoist.flows.decisions.holding import HeldRequest
+from notchhoist.flows.decisions.queued_requests import QueuedRequest
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBalancer, SendCaller
 from notchhoist.flows.model.held import Phase
@@ -25,7 +25,7 @@
 
     def refuse(
         self,
-        request: HeldRequest,
+        request: QueuedRequest,
         now: float,
         reason: str = "no slot in time",
     ) -> None:
@@ -57,7 +57,7 @@
         )
 
     def reset_abandoned(
-        self, request: HeldRequest, segment: Segment, now: float
+        self, request: QueuedRequest, segment: Segment, now: float
     ) -> None:
         """Resets the flow of a caller that has abandoned its queued request."""
         board = self.board
@@ -71,7 +71,7 @@
             request.flow,
             "caller left",
             waited_s=round(now - request.arrived_at, 3),
-            left_s=round(request.ends_at - now, 3),
+            left_s=round(request.expires_at - now, 3),
             waiting=len(board.waiting),
         )
 
--- a/notchhoist/flows/agent/request_gate.py
+++ b/notchhoist/flows/agent/request_gate.py
@@ -4,9 +4,9 @@
 
 from notchhoist.flows.agent.refuser import Refuser
 from notchhoist.flows.boards.agent_board import AgentBoard
-from notchhoist.flows.decisions.failing import AnswerTimes
-from notchhoist.flows.decisions.holding import HeldRequest
-from notchhoist.flows.decisions.queueing import SlotQueue, hopeless
+from notchhoist.flows.decisions.failure_detection import AnswerTimes
+from notchhoist.flows.decisions.queued_requests import QueuedRequest
+from notchhoist.flows.decisions.queueing import SlotQueue, unservable
 from notchhoist.flows.model.effects import SendBackend
 from notchhoist.flows.model.held import (
     PACE_GAIN,
@@ -75,7 +75,7 @@
             now: Runtime clock, seconds.
         """
         if segment.size:
-            self.board.promised.pop(segment.flow, None)
+            self.board.reserved_until.pop(segment.flow, None)
         waiting = self.board.waiting.get(segment.flow)
         if waiting is not None and self._is_abandoned(waiting, segment, now):
             self.refuser.reset_abandoned(waiting, segment, now)
@@ -97,9 +97,11 @@
         self._forward(segment)
 
     def _is_abandoned(
-        self, request: HeldRequest, segment: Segment, now: float
+        self, request: QueuedRequest, segment: Segment, now: float
     ) -> bool:
-        return self.board.uses.leavers and request.is_given_up(segment, now)
+        return self.board.uses.leavers and request.shows_abandonment(
+            segment, now
+        )
 
     def _must_queue(self, wish: Wish) -> bool:
         board = self.board
@@ -121,9 +123,11 @@
         ):
             # Only this balancer is new; the others know of earlier attempts.
             wish = structs.replace(wish, may_be_retry=False)
-        request = HeldRequest(segment.flow, held, [segment], now, wish, opening)
+        request = QueuedRequest(
+            segment.flow, held, [segment], now, wish, opening
+        )
         self.board.waiting[segment.flow] = request
-        self.board.promised.pop(segment.flow, None)
+        self.board.reserved_until.pop(segment.flow, None)
         self.board.records.counters[Count.HELD] += 1
 
     def _start_request(
@@ -198,7 +202,7 @@
         return self.board.pace_s * slowdown
 
     def _log_failing(self) -> None:
-        change = self.times.news()
+        change = self.times.pop_state_change()
         if change:
             share = round(self.times.failing, 3)
             self.board.records.decide(
@@ -212,7 +216,7 @@
     def forget(self, flow: bytes, now: float) -> None:
         """Removes the request of a flow that has ended and frees its slot."""
         self.board.waiting.pop(flow, None)
-        self.board.promised.pop(flow, None)
+        self.board.reserved_until.pop(flow, None)
         held = self.board.flows.get(flow)
         if held is not None:
             held.running_since = None
@@ -230,7 +234,9 @@
             late = request.is_late(now, self.service_time_s())
             self._release(request, now, "late" if late else "on time")
 
-    def _release(self, request: HeldRequest, now: float, outcome: str) -> None:
+    def _release(
+        self, request: QueuedRequest, now: float, outcome: str
+    ) -> None:
         board = self.board
         del board.waiting[request.flow]
         board.observe_wait(request, outcome, now)
@@ -240,7 +246,7 @@
             outcome,
             waited_s=round(now - request.arrived_at, 3),
             age_s=request.wish.age_s,
-            left_s=round(request.ends_at - now, 3),
+            left_s=round(request.expires_at - now, 3),
             objective_s=request.wish.objective_s,
             pace_s=round(board.pace_s, 3),
             waiting=len(board.waiting),
@@ -259,8 +265,8 @@
         board = self.board
         service_time_s = self.service_time_s()
         waiting = board.waiting.values()
-        for request in hopeless(waiting, now, service_time_s, board.slots):
-            expired = now >= request.last_start(service_time_s)
+        for request in unservable(waiting, now, service_time_s, board.slots):
+            expired = now >= request.latest_start(service_time_s)
             if request.unopened and (expired or board.uses.at_once):
                 board.records.counters[Count.REFUSED_AT_ONCE] += 1
                 self.refuser.refuse(request, now)
@@ -283,7 +289,7 @@
         """
         board = self.board
         board.active.clear()
-        board.promised.clear()
+        board.reserved_until.clear()
         board.pace_s = 0.0
         self.times = AnswerTimes()
         for request in list(board.waiting.values()):
--- a/notchhoist/flows/agent/resting.py
+++ b/notchhoist/flows/agent/resting.py
@@ -160,7 +160,7 @@
 
     def _last_shown(self) -> bytes | None:
         """Returns the idle flow that the server has shown open last, if any."""
-        idle = self.board.resting()
+        idle = self.board.idle_flows()
         if not idle:
             return None
         return max(idle, key=lambda item: item[1].shown_at)[0]
@@ -171,7 +171,7 @@
         # ``_note_end`` shortens it again if this survey finds an ended flow.
         self.interval_s = min(2 * self.interval_s, SURVEY_INTERVAL_MAX_S)
         self.watch.schedule_check(now)
-        idle = [flow for flow, _ in self.board.resting()]
+        idle = [flow for flow, _ in self.board.idle_flows()]
         self.flows_to_probe.clear()
         self.flows_to_probe.extend(idle)
         if not idle:
@@ -189,7 +189,7 @@
     def _probe_flow(self, flow: bytes, now: float) -> None:
         """Sends a flow probe unless the flow is no longer idle."""
         held = self.board.flows.get(flow)
-        if held is None or not self.board.rests(flow, held):
+        if held is None or not self.board.is_idle(flow, held):
             return
         packet = held.data or held.sample
         if packet is None:
@@ -213,10 +213,10 @@
     def awaits_backend_exit(self) -> bool:
         """Tells whether a stop waits for idle flows of a draining server."""
         board = self.board
-        exits_together = board.stopping and board.is_leaving
+        exits_together = board.stopping and board.is_draining
         if not exits_together or board.backend_gone or not board.uses.resting:
             return False
-        return bool(board.resting())
+        return bool(board.idle_flows())
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
--- a/notchhoist/flows/agent/telling.py
+++ b/notchhoist/flows/agent/telling.py
@@ -47,7 +47,7 @@
         """Tells whether every flow of the backend server is known."""
         board = self.board
         old = now - board.started_at >= UNSURE_S
-        return board.sees_all or board.backend_gone or old
+        return board.knows_all_flows or board.backend_gone or old
 
     def presence_of(self, segment: Segment, tag: int, now: float) -> NoteKind:
         """Returns whether a flow is present, absent or unsure."""
--- a/notchhoist/flows/agent/tests/test_request_gate.py
+++ b/notchhoist/flows/agent/tests/test_request_gate.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from notchhoist.flows.decisions.holding import (
-    HOLD_MAX_S,
-    HOLD_OPEN_OBJECTIVES,
+from notchhoist.flows.decisions.queued_requests import (
+    DEFAULT_WAIT_MAX_S,
+    OPEN_FLOW_WAIT_OBJECTIVES,
 )
 from notchhoist.flows.model.effects import (
     SendCaller,
@@ -75,7 +75,7 @@
         accept(node, port)
     ask(node, 1)
     ask(node, 2)
-    effects = node.tick(START + HOLD_MAX_S)
+    effects = node.tick(START + DEFAULT_WAIT_MAX_S)
     assert to_balancer(effects) == [NoteKind.REFUSED]
     assert not to_backend(effects)
 
@@ -88,8 +88,8 @@
     reply(node, 2)
     ask(node, 1)
     ask(node, 2, seq=10)
-    assert not to_balancer(node.tick(START + HOLD_MAX_S))
-    effects = node.tick(START + HOLD_OPEN_OBJECTIVES * FRESH.objective_s)
+    assert not to_balancer(node.tick(START + DEFAULT_WAIT_MAX_S))
+    effects = node.tick(START + OPEN_FLOW_WAIT_OBJECTIVES * FRESH.objective_s)
     assert not to_balancer(effects)
     assert to_backend(effects)
 
@@ -232,4 +232,4 @@
     ask(node, 2, START + 0.1, wish=Wish(objective_s=0.225, left_s=2.0))
     [request_held] = node.board.waiting.values()
     assert request_held.wish.age_s == pytest.approx(0.8)
-    assert request_held.ends_at == pytest.approx(START + 1.2)
+    assert request_held.expires_at == pytest.approx(START + 1.2)
--- a/notchhoist/flows/agent/vacancies.py
+++ b/notchhoist/flows/agent/vacancies.py
@@ -34,7 +34,7 @@
 
     def reserve(self, flow: bytes, now: float) -> None:
         """Reserves a slot for the first request of a flow."""
-        self.board.promised[flow] = now + EXPECTED_S
+        self.board.reserved_until[flow] = now + EXPECTED_S
 
     def has_free(self, now: float) -> bool:
         """Tells whether a slot is neither taken, reserved nor waited for.
@@ -50,7 +50,7 @@
             return False
         if not board.slots:
             return True
-        reservations = board.promised
+        reservations = board.reserved_until
         # Reservations are in the order of their expiry.
         for flow in list(reservations):
             if now < reservations[flow]:
--- a/notchhoist/flows/balancer/accepting.py
+++ b/notchhoist/flows/balancer/accepting.py
@@ -25,7 +25,7 @@
         self._accept(host, segment, now)
         placement = self.board.flows.get(segment.flow)
         if placement is not None and placement.server.entry.host == host:
-            placement.inferred = False
+            placement.acceptance_inferred = False
 
     def on_data_before_acceptance(self, segment: Segment, now: float) -> None:
         """Infers an acceptance from data that the caller sends.
@@ -45,7 +45,7 @@
         may_have_accepted = set(opening.tried) - set(opening.busy)
         may_have_accepted.add(placement.server.entry.server_id)
         if len(may_have_accepted) == 1:
-            placement.inferred = True
+            placement.acceptance_inferred = True
             self._accept(placement.server.entry.host, segment, now)
 
     def _accept(self, host: str, segment: Segment, now: float) -> None:
@@ -55,7 +55,7 @@
             self.end_offer(opening)
             self.record_duration(opening, "accepted", now)
             if opening.if_free:
-                board.busy_shares.note(opening.service, busy=False)
+                board.busy_shares.record(opening.service, busy=False)
         placement = board.flows.get(segment.flow)
         if placement is None:
             return
--- a/notchhoist/flows/balancer/evidence.py
+++ b/notchhoist/flows/balancer/evidence.py
@@ -10,8 +10,8 @@
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.decisions.completeness import (
     is_complete,
-    is_settled,
-    saw_all_since_power,
+    is_list_stable,
+    saw_all_flows,
 )
 from notchhoist.flows.model.messages import FlowsTell
 from notchhoist.flows.model.notes import NoteKind
@@ -27,8 +27,8 @@
             Cached for one value of the clock, since hundreds of searches may
             ask at the same time.
         checked_at: Clock value that the cache is valid for, seconds.
-        stable_list_since: The ``whole_since`` for which the server list has
-            become stable; see ``is_settled``.
+        stable_list_since: The ``list_complete_since`` for which the server list
+            has become stable; see ``is_list_stable``.
     """
 
     board: BalancerBoard
@@ -72,11 +72,13 @@
         must be called regularly, since only a call records the stable state.
         """
         board = self.board
-        if is_settled(board.whole_since, board.store_failed_at, now):
-            self.stable_list_since = board.whole_since
+        if is_list_stable(
+            board.list_complete_since, board.store_failed_at, now
+        ):
+            self.stable_list_since = board.list_complete_since
         elif not board.uses.resting:
             return False
-        return self.stable_list_since == board.whole_since
+        return self.stable_list_since == board.list_complete_since
 
     def interpret_unsure(
         self, host: str, tell: FlowsTell, now: float
@@ -93,7 +95,7 @@
             return NoteKind.UNSURE
         servers = board.by_service.get(server.entry.service, [])
         started_at = now - tell.age_ms / 1000
-        if not saw_all_since_power(servers, started_at, board.placing_since):
+        if not saw_all_flows(servers, started_at, board.first_placement_at):
             return NoteKind.UNSURE
         board.records.counters[Count.RULED_OUT_BY_AGE] += len(tell.unsure)
         return NoteKind.ABSENT
--- a/notchhoist/flows/balancer/finding.py
+++ b/notchhoist/flows/balancer/finding.py
@@ -20,7 +20,7 @@
 from notchhoist.flows.balancer.scope import SearchScope
 from notchhoist.flows.balancer.trying import FlowTrier
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Search
-from notchhoist.flows.decisions import placing
+from notchhoist.flows.decisions import server_selection
 from notchhoist.flows.model.messages import FlowsTell
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.model.records import Count
@@ -110,10 +110,14 @@
             return
         services = self.scope.candidate_services(service, segment)
         known = board.by_service.get(services[0], [])
-        likely = placing.candidates(segment.flow, known, board.zone)
+        likely = server_selection.candidates(segment.flow, known, board.zone)
         if board.view.evacuated:
-            others = placing.open_to_new(known, board.view.evacuated)
-            likely += placing.candidates(segment.flow, others, board.zone)
+            others = server_selection.outside_evacuated_zones(
+                known, board.view.evacuated
+            )
+            likely += server_selection.candidates(
+                segment.flow, others, board.zone
+            )
         hosts = {item.entry.host for item in likely if not item.lost}
         hosts.discard(absent_at)
         reported_absent = self.scope.tags_of([absent_at])
@@ -133,7 +137,7 @@
         """Queries agents under their tags; returns whether there are any."""
         if not tags:
             return False
-        search.denied_at = None
+        search.all_absent_at = None
         search.sent_at = now
         search.rounds += 1
         search.unanswered.update(tags)
@@ -174,7 +178,7 @@
             self._handle_answer(host, NoteKind.PRESENT, flow, now)
         for flow in tell.absent:
             search = self.board.searches.get(flow)
-            sampled = search is not None and host in search.trying
+            sampled = search is not None and host in search.sampled
             if flow in asked or (sampled and not tell.number):
                 self._handle_answer(host, NoteKind.ABSENT, flow, now)
         unsure = self.evidence.interpret_unsure(host, tell, now)
@@ -190,7 +194,7 @@
             return
         if kind is NoteKind.PRESENT:
             self._on_found(flow, search, host, now)
-        elif host in search.trying:
+        elif host in search.sampled:
             self._on_sample_returned(flow, search, host, now)
         elif host in search.unanswered:
             search.unanswered.discard(host)
@@ -203,8 +207,8 @@
         self, flow: bytes, search: Search, host: str, now: float
     ) -> None:
         """Handles an agent's report that its server returned the sample."""
-        search.trying.discard(host)
-        if not search.trying:
+        search.sampled.discard(host)
+        if not search.sampled:
             self._advance(flow, search, now)
 
     def _end(self, flow: bytes, search: Search) -> None:
@@ -219,7 +223,7 @@
         flow = segment.flow
         search = self.board.searches.get(flow)
         if search is not None:
-            if host in search.trying:
+            if host in search.sampled:
                 self._on_sample_returned(flow, search, host, now)
             return
         placement = self.board.flows.get(flow)
@@ -249,13 +253,13 @@
         if more:
             self._schedule_check(search)
             return
-        if search.silent or search.partial:
+        if search.silent or search.is_truncated:
             # Silent sampled agents and agents not queried may have the flow,
             # so it must not be reset.
             reason = "tried agents" if search.silent else "agents not asked"
             self._give_up(flow, search, reason, now)
             return
-        search.denied_at = now
+        search.all_absent_at = now
         self._conclude_if_confirmed(flow, search, now)
         self._schedule_check(search)
 
@@ -263,7 +267,7 @@
         self, flow: bytes, search: Search, now: float
     ) -> None:
         """Ends a search once the flow's absence is proven and confirmed."""
-        if not self.board.uses.confirming or search.denied_at is None:
+        if not self.board.uses.confirming or search.all_absent_at is None:
             return
         if not self.evidence.is_complete(search.services, now):
             return
@@ -293,7 +297,7 @@
         """Queries agents that became known meanwhile, or resets the flow."""
         if self._query_remaining(search, now):
             return
-        if search.partial:
+        if search.is_truncated:
             self._give_up(flow, search, "agents not asked", now)
             return
         self._end(flow, search)
@@ -311,15 +315,15 @@
         """Repeats queries and handles searches whose agents are silent."""
         self.questions.tick(now)
         for flow, search in list(self.board.searches.items()):
-            if search.denied_at is not None:
-                if now - search.denied_at >= UNCONFIRMED_RESET_DELAY_S:
+            if search.all_absent_at is not None:
+                if now - search.all_absent_at >= UNCONFIRMED_RESET_DELAY_S:
                     self._conclude_absent(flow, search, now)
                 else:
                     self._conclude_if_confirmed(flow, search, now)
-            elif search.trying:
-                if now - search.sent_at >= search.try_s:
-                    search.silent |= search.trying
-                    search.trying.clear()
+            elif search.sampled:
+                if now - search.sent_at >= search.sample_wait_s:
+                    search.silent |= search.sampled
+                    search.sampled.clear()
                     self._advance(flow, search, now)
             elif now - search.sent_at >= CHECK_INTERVAL_S:
                 self._check_unanswered(flow, search, now)
@@ -365,10 +369,10 @@
 
 def _check_time(search: Search, next_confirmation: float) -> float:
     """Returns when a search next needs a check, seconds."""
-    if search.denied_at is not None:
+    if search.all_absent_at is not None:
         return min(
-            search.denied_at + UNCONFIRMED_RESET_DELAY_S, next_confirmation
+            search.all_absent_at + UNCONFIRMED_RESET_DELAY_S, next_confirmation
         )
     return search.sent_at + (
-        search.try_s if search.trying else CHECK_INTERVAL_S
+        search.sample_wait_s if search.sampled else CHECK_INTERVAL_S
     )
--- a/notchhoist/flows/balancer/forwarding.py
+++ b/notchhoist/flows/balancer/forwarding.py
@@ -42,7 +42,7 @@
             self.health.on_retransmission(server, now)
         placement.last_at = now
         placement.last = segment
-        placement.used_since = min(placement.used_since, now)
+        placement.first_forwarded_at = min(placement.first_forwarded_at, now)
         placement.closing = placement.closing or segment.closes
         wish = _wish(route, placement, segment, now)
         note = notes.to_agent(NoteKind.HELD, server.tag, wish)
@@ -57,9 +57,9 @@
     route: Route, placement: Placement, segment: Segment, now: float
 ) -> Wish:
     """Returns the request hints that the packet carries to the agent."""
-    since = placement.asked_since
+    since = placement.waiting_since
     if since is None:
         return route.wish()
     if segment.size:
-        placement.asked_since = None
+        placement.waiting_since = None
     return route.wish(now - since)
--- a/notchhoist/flows/balancer/health.py
+++ b/notchhoist/flows/balancer/health.py
@@ -268,8 +268,8 @@
             if placement.closing or not placement.accepted:
                 continue
             is_idle = now - placement.last_at > IDLE_AFTER_S
-            may_have_moved = is_idle or placement.inferred
-            is_unconfirmed = may_have_moved and not placement.is_shown
+            may_have_moved = is_idle or placement.acceptance_inferred
+            is_unconfirmed = may_have_moved and not placement.is_confirmed
             if self.board.uses.resting and is_unconfirmed:
                 continue  # Its caller may have chosen another server.
             self.resetter.reset(
--- a/notchhoist/flows/balancer/liveness.py
+++ b/notchhoist/flows/balancer/liveness.py
@@ -10,7 +10,7 @@
 from msgspec import Struct, field
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard
-from notchhoist.flows.decisions.ending import has_ended
+from notchhoist.flows.decisions.server_exit import has_exited
 from notchhoist.flows.model.effects import CheckHost, Reach
 from notchhoist.flows.model.fleet import Server
 from notchhoist.flows.model.records import Count
@@ -88,4 +88,4 @@
             return False
         if now > server.restarting_until:
             return True
-        return has_ended(server, self.board.store_failed_at, now)
+        return has_exited(server, self.board.store_failed_at, now)
--- a/notchhoist/flows/balancer/locality.py
+++ b/notchhoist/flows/balancer/locality.py
@@ -6,12 +6,12 @@
 
 from notchhoist.flows.balancer.distances import Distances
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Opening
-from notchhoist.flows.decisions import placing, reaching
-from notchhoist.flows.decisions.attempts import FULL_ATTEMPTS
-from notchhoist.flows.decisions.reaching import FarCosts
+from notchhoist.flows.decisions import server_selection, zone_distance
+from notchhoist.flows.decisions.attempts import ATTEMPTS_WHEN_FULL
+from notchhoist.flows.decisions.zone_distance import RemotePenalty
 from notchhoist.flows.model.fleet import RequestKind, Server
 
-Costs = Mapping[str, FarCosts]
+Costs = Mapping[str, RemotePenalty]
 
 
 class ZoneLocality(Struct, eq=False):
@@ -42,7 +42,9 @@
         costs = {}
         for zone in zones:
             extra_s = self.distances.extra_s(zone)
-            costs[zone] = reaching.far_costs(extra_s, pace_s, utilization)
+            costs[zone] = zone_distance.remote_penalty(
+                extra_s, pace_s, utilization
+            )
         return costs
 
     def _utilization(self, servers: Sequence[Server]) -> float:
@@ -76,15 +78,15 @@
         if not any(_is_far(server, costs) for server in untried):
             return untried
         attempts = self.board.busy_shares.attempts(opening.service)
-        if attempts <= FULL_ATTEMPTS:
+        if attempts <= ATTEMPTS_WHEN_FULL:
             return untried
         median_ms = _service_time_s(untried) * 1000
         nearby = [
             server
             for server in untried
             if not _is_far(server, costs)
-            and not placing.is_unwell(
-                server, placing.capacity(server, median_ms), now
+            and not server_selection.is_slow(
+                server, server_selection.effective_slots(server, median_ms), now
             )
         ]
         return nearby or untried
@@ -103,9 +105,15 @@
             return False
         if not all(_is_far(server, costs) for server in untried):
             return False
-        extra_s = min(costs[item.entry.zone].extra_s for item in untried)
+        extra_s = min(
+            costs[item.entry.zone].extra_round_trip_s for item in untried
+        )
         long_lived_flow = opening.route.long_lived
-        trips = reaching.LONG_TRIPS if long_lived_flow else reaching.ONCE_TRIPS
+        trips = (
+            zone_distance.MULTI_REQUEST_ROUND_TRIPS
+            if long_lived_flow
+            else zone_distance.SINGLE_REQUEST_ROUND_TRIPS
+        )
         return self._nearby_queue_wait_s(opening, costs) <= trips * extra_s
 
     def _nearby_queue_wait_s(self, opening: Opening, costs: Costs) -> float:
@@ -125,23 +133,27 @@
             slots = server.entry.slots
             if server.pace_ms and ahead >= max(1, slots):
                 pace_s = server.pace_ms / 1000
-                waits_s.append(reaching.wait_s(ahead, slots, pace_s))
+                waits_s.append(
+                    zone_distance.queueing_delay_s(ahead, slots, pace_s)
+                )
         return min(waits_s)
 
     def accept_wait_s(self, server: Server) -> float:
         """Returns how long to wait for a server's acceptance, seconds."""
         if not self._is_enabled():
-            return reaching.ACCEPT_WAIT_S
-        return reaching.accept_wait_s(self.distances.round_trip_s(server))
+            return zone_distance.ACCEPT_WAIT_S
+        return zone_distance.accept_wait_s(self.distances.round_trip_s(server))
 
 
 def _is_far(server: Server, costs: Costs) -> bool:
     """Tells whether the distance of a server affects decisions."""
-    return costs.get(server.entry.zone, reaching.USUAL_COSTS).is_long
+    return costs.get(
+        server.entry.zone, zone_distance.DEFAULT_PENALTY
+    ).is_significant
 
 
 def _service_time_s(servers: Sequence[Server]) -> float:
     """Returns the median service time, seconds; 0 if few servers report it."""
     service_times_ms = [server.pace_ms for server in servers if server.pace_ms]
     is_known = 2 * len(service_times_ms) >= len(servers)
-    return placing.median(service_times_ms) / 1000 if is_known else 0.0
+    return server_selection.median(service_times_ms) / 1000 if is_known else 0.0
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -22,7 +22,7 @@
 from notchhoist.flows.balancer.targeting import service_for
 from notchhoist.flows.balancer.trying import FlowTrier
 from notchhoist.flows.boards.balancer_board import BalancerBoard
-from notchhoist.flows.decisions.early import EarlyPackets
+from notchhoist.flows.decisions.early_packets import EarlyPackets
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import Effect, Reach
 from notchhoist.flows.model.fleet import Route
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -16,8 +16,8 @@
     Opening,
     Placement,
 )
-from notchhoist.flows.decisions import placing
-from notchhoist.flows.decisions.early import EarlyPackets
+from notchhoist.flows.decisions import server_selection
+from notchhoist.flows.decisions.early_packets import EarlyPackets
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendAgent
 from notchhoist.flows.model.fleet import RequestKind, Route, Server
@@ -86,7 +86,7 @@
         service = service_for(self.board, route, segment.flow, now)
         count_new_flow(self.board, route, service)
         return Opening(
-            asked_since=since,
+            waiting_since=since,
             may_be_retry=self.early.may_be_retry(since),
             segment=segment,
             service=service,
@@ -104,11 +104,11 @@
         other servers are older than a request takes.
         """
         board = self.board
-        open_servers = placing.open_to_new(
+        open_servers = server_selection.outside_evacuated_zones(
             board.by_service.get(opening.service, []), board.view.evacuated
         )
-        servers = placing.usable(open_servers, now)
-        shortlist = placing.candidates(
+        servers = server_selection.usable_servers(open_servers, now)
+        shortlist = server_selection.candidates(
             opening.segment.flow, open_servers, board.zone
         )
         shortlist = [item for item in servers if item in shortlist]
@@ -124,7 +124,7 @@
             else self._busy_servers(opening, servers) or untried
         )
         choices = choices or self._untried(opening, servers)
-        server = placing.choose(
+        server = server_selection.choose_server(
             choices,
             opening.route.kind,
             board.zone,
@@ -145,7 +145,7 @@
         server.note_offer()
         self.informer.before_offer(server, now)
         self._record_placement(opening, server, now)
-        age_s = now - opening.asked_since
+        age_s = now - opening.waiting_since
         wish = opening.route.wish(age_s, opening.may_be_retry)
         self._send(server, opening.segment, wish, now, opening.if_free)
 
@@ -209,8 +209,8 @@
             False,
             now,
             segment,
-            asked_since=opening.asked_since,
-            used_since=float("inf"),
+            waiting_since=opening.waiting_since,
+            first_forwarded_at=float("inf"),
         )
         if len(flows) > PLACEMENTS_MAX:
             flows.popitem(last=False)
@@ -285,7 +285,7 @@
             return
         counters = self.board.records.counters
         counters[Count.FOUND_BUSY] += 1
-        self.board.busy_shares.note(opening.service, busy=True)
+        self.board.busy_shares.record(opening.service, busy=True)
         opening.busy.append(placement.server.entry.server_id)
         self.outcomes.record_duration(opening, "busy", now)
         self.outcomes.record_round_trip(host, segment.flow, now)
--- a/notchhoist/flows/balancer/resting.py
+++ b/notchhoist/flows/balancer/resting.py
@@ -13,7 +13,10 @@
 from notchhoist.flows.balancer.finding import FlowFinder
 from notchhoist.flows.balancer.health import DOUBT_S, HealthKeeper
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Placement
-from notchhoist.flows.decisions.ending import has_announced, has_ended
+from notchhoist.flows.decisions.server_exit import (
+    has_announced_drain,
+    has_exited,
+)
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendAgent
 from notchhoist.flows.model.fleet import Server
@@ -146,7 +149,7 @@
         self._send_health_probes(now)
         for server_id, group in list(self.flows_by_server.items()):
             recheck = self.rechecks.get(server_id)
-            if has_ended(group.server, self.board.store_failed_at, now):
+            if has_exited(group.server, self.board.store_failed_at, now):
                 del self.flows_by_server[server_id]
                 self._give_up(group.server, now)
             elif recheck is not None and self._is_due(recheck, now):
@@ -168,7 +171,7 @@
             if placement is None or not _is_open(placement):
                 continue
             if placement.server.entry.service == former:
-                if now - board.known_since >= STALE_ENTRIES_S:
+                if now - board.list_known_since >= STALE_ENTRIES_S:
                     server_id = placement.server.entry.server_id
                     self._request_recheck(
                         server_id, "server replaced", now, now
@@ -209,7 +212,9 @@
                 del self.rechecks[server_id]
         for server_id, group in self.flows_by_server.items():
             existing = self.rechecks.get(server_id)
-            if not group.server.listed and not has_announced(group.server):
+            if not group.server.listed and not has_announced_drain(
+                group.server
+            ):
                 # A draining server closes its flows; its agent detects the
                 # remaining ones.
                 self._request_recheck(server_id, UNLISTED, self.scanned_at, now)
--- a/notchhoist/flows/balancer/scope.py
+++ b/notchhoist/flows/balancer/scope.py
@@ -81,13 +81,13 @@
         Returns:
             Their agents to query, with their tags.
         """
-        if search.partial or not self._may_be_elsewhere(now):
+        if search.is_truncated or not self._may_be_elsewhere(now):
             return {}
         # An upper bound: listing the agents of a large platform for each of
         # many searches would block the process.
         most = len(self.board.by_host) - len(search.asked)
         if self.wide_queries + most > WIDE_QUERIES_MAX:
-            search.partial = True
+            search.is_truncated = True
             return {}
         every = (*search.services, *self.board.by_service)
         search.services = tuple(dict.fromkeys(every))
@@ -95,7 +95,7 @@
         if fresh:
             self.board.records.counters[Count.ASKED_WIDELY] += 1
         self.wide_queries += len(fresh)
-        search.wide += len(fresh)
+        search.widened_by += len(fresh)
         return fresh
 
     def _may_be_elsewhere(self, now: float) -> bool:
@@ -103,4 +103,4 @@
 
     def on_ended(self, search: Search) -> None:
         """Releases the query budget of a search that has ended."""
-        self.wide_queries -= search.wide
+        self.wide_queries -= search.widened_by
--- a/notchhoist/flows/balancer/search_records.py
+++ b/notchhoist/flows/balancer/search_records.py
@@ -59,7 +59,7 @@
         confirmed_up_to: Everything published up to this time is known, seconds.
         now: Runtime clock, seconds.
     """
-    denied_at = now if search.denied_at is None else search.denied_at
+    denied_at = now if search.all_absent_at is None else search.all_absent_at
     return {
         "service": search.services[0],
         "services": services_text(search),
@@ -69,5 +69,5 @@
         "confirmed": confirmed_up_to >= search.since,
         "rounds": search.rounds,
         "asked": len(search.asked),
-        "asked_widely": search.wide,
+        "asked_widely": search.widened_by,
     }
--- a/notchhoist/flows/balancer/targeting.py
+++ b/notchhoist/flows/balancer/targeting.py
@@ -1,7 +1,7 @@
 """Choice of the service of a new flow among the targets of its route."""
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard
-from notchhoist.flows.decisions import placing
+from notchhoist.flows.decisions import server_selection
 from notchhoist.flows.decisions.splitting import pick_target
 from notchhoist.flows.model.fleet import Route
 
@@ -42,6 +42,8 @@
 def _has_live_server(board: BalancerBoard, service: str, now: float) -> bool:
     servers = board.by_service.get(service, ())
     return any(
-        placing.is_willing(server, now) and not server.lost
-        for server in placing.open_to_new(servers, board.view.evacuated)
+        server_selection.accepts_new_flows(server, now) and not server.lost
+        for server in server_selection.outside_evacuated_zones(
+            servers, board.view.evacuated
+        )
     )
--- a/notchhoist/flows/balancer/tests/test_accepting.py
+++ b/notchhoist/flows/balancer/tests/test_accepting.py
@@ -1,6 +1,6 @@
 """A flow opens at a single server where one is enough."""
 
-from notchhoist.flows.decisions.reaching import ACCEPT_WAIT_S
+from notchhoist.flows.decisions.zone_distance import ACCEPT_WAIT_S
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.messages import LoadTell
 from notchhoist.flows.model.notes import Load, NoteKind
--- a/notchhoist/flows/balancer/tests/test_anew.py
+++ b/notchhoist/flows/balancer/tests/test_anew.py
@@ -7,7 +7,7 @@
 import pytest
 
 from notchhoist.flows.balancer.node import make_balancer
-from notchhoist.flows.decisions.completeness import LEAST_AWAY_S
+from notchhoist.flows.decisions.completeness import RESTART_MIN_S
 from notchhoist.flows.model.effects import SendPeer
 from notchhoist.flows.model.messages import FlowsTell, ViewAsk, ViewTell
 from notchhoist.flows.model.view import ViewChange
@@ -77,7 +77,7 @@
 
 def test_agent_restarted_later_gets_a_sample():
     node = balancer()
-    now = KNOWN_AT + LEAST_AWAY_S + 0.2
+    now = KNOWN_AT + RESTART_MIN_S + 0.2
     first, second = asked_agents(node.on_caller(LOST, now))
     for host, age_ms in ((first, 1000), (second, 100)):
         tell = FlowsTell(
--- a/notchhoist/flows/balancer/tests/test_attempts.py
+++ b/notchhoist/flows/balancer/tests/test_attempts.py
@@ -2,8 +2,8 @@
 
 from msgspec.structs import replace
 
-from notchhoist.flows.decisions.attempts import FULL_ATTEMPTS, MOST_ATTEMPTS
-from notchhoist.flows.decisions.reaching import ACCEPT_WAIT_S
+from notchhoist.flows.decisions.attempts import ATTEMPTS_MAX, ATTEMPTS_WHEN_FULL
+from notchhoist.flows.decisions.zone_distance import ACCEPT_WAIT_S
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.fleet import ColdBound, RequestKind
 from notchhoist.flows.model.mechanisms import ALL
@@ -39,7 +39,7 @@
 def answer_all_busy(node, loads, syn, host):
     """Answers every conditional offer as busy; returns the final offer."""
     effects = []
-    for _ in range(MOST_ATTEMPTS):
+    for _ in range(ATTEMPTS_MAX):
         effects = answer_busy(node, host, syn, running=loads.get(host, 9))
         [(host, sent)] = packets(effects)
         if kind_of(sent) is not NoteKind.PLACE_IF_FREE:
@@ -69,7 +69,7 @@
     shortest = min(asked, key=lambda name: 9 - int(name[1:]))
     assert kind_of(sent) is NoteKind.PLACE
     assert host == node.board.servers[shortest].entry.host
-    assert len(asked) == MOST_ATTEMPTS
+    assert len(asked) == ATTEMPTS_MAX
 
 
 def test_each_server_of_a_small_service_gets_one_conditional_offer():
@@ -114,9 +114,9 @@
 def test_a_full_service_gets_fewer_conditional_offers():
     node = balancer(servers=8, routes=ONCE)
     for _ in range(200):
-        node.board.busy_shares.note(SERVICE, busy=True)
+        node.board.busy_shares.record(SERVICE, busy=True)
     syn, host, _ = offer_flow(node)
-    for _ in range(FULL_ATTEMPTS - 1):
+    for _ in range(ATTEMPTS_WHEN_FULL - 1):
         [(host, sent)] = packets(answer_busy(node, host, syn))
         assert kind_of(sent) is NoteKind.PLACE_IF_FREE
     [(_, sent)] = packets(answer_busy(node, host, syn))
--- a/notchhoist/flows/balancer/tests/test_finding.py
+++ b/notchhoist/flows/balancer/tests/test_finding.py
@@ -5,7 +5,7 @@
 from notchhoist.flows.balancer.finding import UNCONFIRMED_RESET_DELAY_S
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.balancer.trying import SAMPLE_WAIT_MIN_S
-from notchhoist.flows.decisions.placing import CHOICES
+from notchhoist.flows.decisions.server_selection import CANDIDATES_MAX
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import (
     ConfirmView,
@@ -44,12 +44,12 @@
     node = balancer(servers=44)
     lost = request(data=b"x")
     asked = set(asked_agents(node.on_caller(lost, 0.0)))
-    assert len(asked) == CHOICES
+    assert len(asked) == CANDIDATES_MAX
     remaining = []
     for host in asked:
         effects = tell_flow(node, host, lost, NoteKind.ABSENT, 0.002)
         remaining += asked_agents(effects)
-    assert len(remaining) == 44 - CHOICES
+    assert len(remaining) == 44 - CANDIDATES_MAX
     assert asked.isdisjoint(remaining)
 
 
--- a/notchhoist/flows/balancer/tests/test_liveness.py
+++ b/notchhoist/flows/balancer/tests/test_liveness.py
@@ -6,7 +6,10 @@
     AWAY_AFTER_REFUSAL_S,
     CONCURRENT_CHECKS_MAX,
 )
-from notchhoist.flows.decisions.ending import GONE_S, LEFT_S
+from notchhoist.flows.decisions.server_exit import (
+    ANNOUNCED_EXIT_S,
+    UNANNOUNCED_EXIT_S,
+)
 from notchhoist.flows.model.effects import CheckHost, Reach, SendPeer
 from notchhoist.flows.model.messages import LoadTell
 from notchhoist.flows.tests.balancing import (
@@ -127,9 +130,9 @@
     silent.run(0.5)
     publish(silent, draining=True, listed=False)
     began = silent.node.board.by_host[silent.host].probed_at or silent.now
-    silent.run(began + LEFT_S - 0.1)
+    silent.run(began + ANNOUNCED_EXIT_S - 0.1)
     assert silent.resets == 0
-    silent.run(began + LEFT_S + 0.3)
+    silent.run(began + ANNOUNCED_EXIT_S + 0.3)
     assert silent.node.board.by_host[silent.host].lost
     assert silent.resets == 1
 
@@ -138,9 +141,9 @@
     silent = SilentAgent(Reach.REFUSED)
     silent.run(0.5)
     publish(silent, draining=False, listed=False)
-    silent.run(0.5 + GONE_S - 0.1)
+    silent.run(0.5 + UNANNOUNCED_EXIT_S - 0.1)
     assert silent.resets == 0
-    silent.run(0.5 + GONE_S + 0.3)
+    silent.run(0.5 + UNANNOUNCED_EXIT_S + 0.3)
     assert silent.resets == 1
 
 
--- a/notchhoist/flows/balancer/tests/test_locality.py
+++ b/notchhoist/flows/balancer/tests/test_locality.py
@@ -113,7 +113,7 @@
     """An overloaded zone must be able to pass flows on."""
     node = balancer()
     for _ in range(300):
-        node.board.busy_shares.note(crafting.SERVICE, busy=True)
+        node.board.busy_shares.record(crafting.SERVICE, busy=True)
     for server in node.board.servers.values():
         server.running = 12 if server.entry.zone == "a" else 1
     assert offer_until_accepted(node)[0][0] != "a"
@@ -127,7 +127,7 @@
         server.running = 1
     before = node.opener.locality.costs(servers)["b"].flows
     for number in range(20):
-        node.board.busy_shares.note(crafting.SERVICE, busy=number % 5 == 0)
+        node.board.busy_shares.record(crafting.SERVICE, busy=number % 5 == 0)
     assert node.opener.locality.costs(servers)["b"].flows > before
 
 
--- a/notchhoist/flows/balancer/tests/test_questions.py
+++ b/notchhoist/flows/balancer/tests/test_questions.py
@@ -81,7 +81,7 @@
     assert len(repeats) >= 2
     lost = unknown_flow_packet(1).flow
     node.on_peer(HOST, FlowsTell(sent_query.number, absent=(lost,)), 0.36)
-    assert node.board.searches[lost].denied_at == 0.36
+    assert node.board.searches[lost].all_absent_at == 0.36
 
 
 def test_answer_to_an_earlier_search_is_ignored():
@@ -95,7 +95,7 @@
     node.on_peer(HOST, FlowsTell(sent_query.number, absent=(lost.flow,)), 0.06)
     search = node.board.searches[lost.flow]
     assert search.unanswered == {HOST}
-    assert search.denied_at is None
+    assert search.all_absent_at is None
 
 
 @given(
--- a/notchhoist/flows/balancer/tests/test_resting.py
+++ b/notchhoist/flows/balancer/tests/test_resting.py
@@ -7,7 +7,11 @@
 from notchhoist.flows.balancer import resting
 from notchhoist.flows.balancer.resting import FLOW_PROBES_PER_CAUSE
 from notchhoist.flows.boards.balancer_board import Placement
-from notchhoist.flows.decisions.ending import GONE_S, LEFT_S, has_ended
+from notchhoist.flows.decisions.server_exit import (
+    ANNOUNCED_EXIT_S,
+    UNANNOUNCED_EXIT_S,
+    has_exited,
+)
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import CheckHost, Reach, SendPeer
 from notchhoist.flows.model.fleet import FOREVER, Server
@@ -157,10 +161,10 @@
 @pytest.mark.parametrize(
     ("announced", "unlisted_at", "failed_at", "ends_at"),
     [
-        (True, 5.0, 0.0, 3.0 + LEFT_S),
-        (True, 5.0, 3.0, 5.2 + LEFT_S),
-        (False, 5.0, 0.0, 5.0 + GONE_S),
-        (False, 5.0, 5.0, 7.2 + GONE_S),
+        (True, 5.0, 0.0, 3.0 + ANNOUNCED_EXIT_S),
+        (True, 5.0, 3.0, 5.2 + ANNOUNCED_EXIT_S),
+        (False, 5.0, 0.0, 5.0 + UNANNOUNCED_EXIT_S),
+        (False, 5.0, 5.0, 7.2 + UNANNOUNCED_EXIT_S),
         (False, FOREVER, 0.0, FOREVER),
     ],
 )
@@ -173,6 +177,6 @@
     ended = []
     for tenths in range(50, 150):
         server.checked_at = now = tenths / 10
-        if has_ended(server, failed_at, now):
+        if has_exited(server, failed_at, now):
             ended.append(now)
     assert min(ended, default=FOREVER) == pytest.approx(ends_at, abs=0.11)
--- a/notchhoist/flows/balancer/tests/test_settled.py
+++ b/notchhoist/flows/balancer/tests/test_settled.py
@@ -10,7 +10,7 @@
     CONFIRM_BACKOFF_MAX_S,
     CONFIRM_BACKOFF_S,
 )
-from notchhoist.flows.decisions.completeness import RETURN_S
+from notchhoist.flows.decisions.completeness import REANNOUNCE_S
 from notchhoist.flows.model.effects import ConfirmView
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.flows.model.notes import NoteKind
@@ -22,7 +22,7 @@
 NOW = 10.0
 
 
-def stable_list_balancer(at=RETURN_S):
+def stable_list_balancer(at=REANNOUNCE_S):
     """A balancer that had known the server list before the store failed."""
     node = balancer(servers=2)
     node.tick(at)
@@ -73,7 +73,7 @@
 
 
 def test_list_known_too_briefly_is_not_stable():
-    assert not wants_confirmation(stable_list_balancer(at=RETURN_S - 0.1))
+    assert not wants_confirmation(stable_list_balancer(at=REANNOUNCE_S - 0.1))
 
 
 def test_list_that_was_read_again_is_not_stable():
--- a/notchhoist/flows/balancer/tests/test_targeting.py
+++ b/notchhoist/flows/balancer/tests/test_targeting.py
@@ -4,7 +4,7 @@
 
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.balancer.targeting import service_for
-from notchhoist.flows.decisions.placing import LAPSED_S
+from notchhoist.flows.decisions.server_selection import UNLISTED_USE_MAX_S
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.balancing import packets, resets
 from notchhoist.flows.tests.crafting import SYN, entry, request
@@ -57,8 +57,12 @@
         node.board.servers["s2"].lost = True
     else:
         node.fleet.on_removed("s2", 2, NOW)
-        assert SECOND in chosen_services(node, route, NOW + LAPSED_S / 2)
-    assert set(chosen_services(node, route, NOW + LAPSED_S)) == {FIRST}
+        assert SECOND in chosen_services(
+            node, route, NOW + UNLISTED_USE_MAX_S / 2
+        )
+    assert set(chosen_services(node, route, NOW + UNLISTED_USE_MAX_S)) == {
+        FIRST
+    }
 
 
 def test_overload_does_not_change_the_shares():
--- a/notchhoist/flows/balancer/trying.py
+++ b/notchhoist/flows/balancer/trying.py
@@ -53,7 +53,7 @@
         search.sent_at = now
         if not hosts:
             return False
-        search.trying.update(hosts)
+        search.sampled.update(hosts)
         sample = min(search.waiting, key=_sample_rank)
         by_tag: dict[int, list[str]] = {}
         for host in hosts:
@@ -66,7 +66,9 @@
             )
         search.answered_s = now - search.since
         waits_s = SAMPLE_WAIT_FACTOR * search.answered_s
-        search.try_s = min(max(SAMPLE_WAIT_MIN_S, waits_s), SAMPLE_WAIT_MAX_S)
+        search.sample_wait_s = min(
+            max(SAMPLE_WAIT_MIN_S, waits_s), SAMPLE_WAIT_MAX_S
+        )
         return True
 
 
--- a/notchhoist/flows/boards/agent_board.py
+++ b/notchhoist/flows/boards/agent_board.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-from notchhoist.flows.decisions.holding import HeldRequest
+from notchhoist.flows.decisions.queued_requests import QueuedRequest
 from notchhoist.flows.model.effects import Effect
 from notchhoist.flows.model.held import HeldFlow
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
@@ -17,14 +17,14 @@
         service: Service of the backend server.
         tag: Tag of that service.
         started_at: When the agent started, seconds.
-        sees_all: The agent started together with the whole system, so it
+        knows_all_flows: The agent started together with the whole system, so it
             has seen every flow of its server begin.
         flows: Flows of the backend server, by key.
         slots: Requests that the backend server works on at once; 0 if no
             balancer has reported it yet.
         active: Flows whose request holds a slot.
         waiting: Requests that are queued for a slot, by flow.
-        promised: Slot reservations for the first requests of accepted
+        reserved_until: Slot reservations for the first requests of accepted
             flows: when each reservation expires, by flow, seconds.
         pace_s: Smoothed service time, seconds; 0 if unknown.
         backend_gone: The backend server no longer listens.
@@ -37,7 +37,7 @@
         state: Published state of the backend server, as last reported by a
             balancer, or None.
         evacuated_since: Since when its zone is evacuated, seconds, or None.
-        leaving_since: Since when this agent knows that the backend server
+        draining_since: Since when this agent knows that the backend server
             drains, seconds, or None.
         cold_until: When the slow start of the backend server ends, as last
             reported, seconds.
@@ -51,12 +51,12 @@
     service: str
     tag: int
     started_at: float
-    sees_all: bool = False
+    knows_all_flows: bool = False
     flows: dict[bytes, HeldFlow] = field(default_factory=dict)
     slots: int = 0
     active: set[bytes] = field(default_factory=set)
-    waiting: dict[bytes, HeldRequest] = field(default_factory=dict)
-    promised: dict[bytes, float] = field(default_factory=dict)
+    waiting: dict[bytes, QueuedRequest] = field(default_factory=dict)
+    reserved_until: dict[bytes, float] = field(default_factory=dict)
     pace_s: float = 0.0
     backend_gone: bool = False
     refused_since: float | None = None
@@ -65,7 +65,7 @@
     checked_at: float = float("-inf")
     state: ServerState | None = None
     evacuated_since: float | None = None
-    leaving_since: float | None = None
+    draining_since: float | None = None
     cold_until: float = float("-inf")
     balancers: dict[str, float] = field(default_factory=dict)
     records: Records = field(default_factory=Records)
@@ -74,7 +74,7 @@
     uses: Mechanisms = ALL
 
     def observe_wait(
-        self, request: HeldRequest, outcome: str, now: float
+        self, request: QueuedRequest, outcome: str, now: float
     ) -> None:
         """Records how long a request has waited for a slot.
 
@@ -87,19 +87,19 @@
         self.records.observe(Timing.WAITING, self.service, outcome, waited_s)
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether the backend server has announced that it drains."""
         return self.state is not None and self.state.draining
 
-    def resting(self) -> list[tuple[bytes, HeldFlow]]:
-        """Returns the idle flows, by key; see ``rests``."""
+    def idle_flows(self) -> list[tuple[bytes, HeldFlow]]:
+        """Returns the idle flows, by key; see ``is_idle``."""
         return [
             (flow, held)
             for flow, held in self.flows.items()
-            if self.rests(flow, held)
+            if self.is_idle(flow, held)
         ]
 
-    def rests(self, flow: bytes, held: HeldFlow) -> bool:
+    def is_idle(self, flow: bytes, held: HeldFlow) -> bool:
         """Tells whether a flow is idle.
 
         The server has shown it open and has got all its packets. A copy of its
--- a/notchhoist/flows/boards/balancer_board.py
+++ b/notchhoist/flows/boards/balancer_board.py
@@ -5,7 +5,7 @@
 from msgspec import Struct, field
 
 from notchhoist.flows.decisions.attempts import BusyShares
-from notchhoist.flows.decisions.reaching import ACCEPT_WAIT_S
+from notchhoist.flows.decisions.zone_distance import ACCEPT_WAIT_S
 from notchhoist.flows.model.effects import Effect
 from notchhoist.flows.model.fleet import Route, RouteTable, Server
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
@@ -27,11 +27,11 @@
         last: The caller's newest packet; a reset of the flow is derived from
             it.
         closing: The caller has closed the flow.
-        asked_since: When the caller began to wait for its first request,
+        waiting_since: When the caller began to wait for its first request,
             seconds, or None once that request was forwarded.
-        used_since: When the first packet after the opening one was
+        first_forwarded_at: When the first packet after the opening one was
             forwarded, seconds; ``-inf`` for a flow that was found there.
-        inferred: The acceptance was inferred from the caller's
+        acceptance_inferred: The acceptance was inferred from the caller's
             packet; no agent has reported it.
     """
 
@@ -40,12 +40,12 @@
     last_at: float
     last: Segment
     closing: bool = False
-    asked_since: float | None = None
-    used_since: float = float("-inf")
-    inferred: bool = False
+    waiting_since: float | None = None
+    first_forwarded_at: float = float("-inf")
+    acceptance_inferred: bool = False
 
     @property
-    def is_shown(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether an answer of the agent confirms that the flow is there.
 
         An agent returns packets of unknown flows at once, so an agent that was
@@ -53,7 +53,9 @@
         may be elsewhere if the caller has chosen another server, to which
         another balancer had offered it.
         """
-        heard = self.server.heard_at - self.used_since > AGENT_ANSWER_MAX_S
+        heard = (
+            self.server.heard_at - self.first_forwarded_at > AGENT_ANSWER_MAX_S
+        )
         return heard and not self.last.opens
 
 
@@ -61,7 +63,7 @@
     """A new flow that no backend server has accepted yet.
 
     Attributes:
-        asked_since: When its caller began to wait, seconds.
+        waiting_since: When its caller began to wait, seconds.
         segment: Its opening packet (SYN).
         service: Its service.
         route: Its route.
@@ -73,7 +75,7 @@
         may_be_retry: See ``Wish``.
     """
 
-    asked_since: float
+    waiting_since: float
     segment: Segment
     service: str
     route: Route
@@ -94,22 +96,22 @@
         waiting: Packets that wait for the outcome.
         unanswered: Hosts of agents that have not answered.
         unsure: Hosts of agents that started too recently to know.
-        trying: Hosts of unsure agents that were sent a sample packet.
+        sampled: Hosts of unsure agents that were sent a sample packet.
         answered_s: Time from the start of the search until all agents had
             answered, seconds; 0 if none was unsure.
-        try_s: Timeout of the sample packets, seconds.
+        sample_wait_s: Timeout of the sample packets, seconds.
         sent_at: When agents were last asked, seconds.
         rounds: How many times agents were asked.
         since: When the search started, seconds.
         asked: Hosts of all agents that were asked, each with the tag of the
             service that it was asked for.
-        wide: How many of them serve services that the flow's route does
+        widened_by: How many of them serve services that the flow's route does
             not name.
-        partial: Some agents of such services were not asked, because too
+        is_truncated: Some agents of such services were not asked, because too
             many queries were outstanding.
         silent: Hosts of agents that were sent a sample packet and did not
             report an outcome.
-        denied_at: When every known agent had reported the flow absent,
+        all_absent_at: When every known agent had reported the flow absent,
             seconds, or None.
     """
 
@@ -117,17 +119,17 @@
     waiting: list[Segment]
     unanswered: set[str]
     unsure: list[str]
-    trying: set[str] = field(default_factory=set)
+    sampled: set[str] = field(default_factory=set)
     answered_s: float = 0.0
-    try_s: float = 0.0
+    sample_wait_s: float = 0.0
     sent_at: float = 0.0
     rounds: int = 0
     since: float = 0.0
     asked: dict[str, int] = field(default_factory=dict)
-    wide: int = 0
-    partial: bool = False
+    widened_by: int = 0
+    is_truncated: bool = False
     silent: set[str] = field(default_factory=set)
-    denied_at: float | None = None
+    all_absent_at: float | None = None
 
 
 class ZoneState(Struct, eq=False):
@@ -157,10 +159,10 @@
         by_host: The newest backend server on each host.
         zones: Availability zones that are or were evacuated, by name.
         fleet_known: The list of servers has been read.
-        known_since: When the list of servers was first read, seconds.
-        whole_since: Since when every change to the list is known,
+        list_known_since: When the list of servers was first read, seconds.
+        list_complete_since: Since when every change to the list is known,
             seconds.
-        placing_since: Earliest time at which any known balancer may have
+        first_placement_at: Earliest time at which any known balancer may have
             placed a flow, seconds.
         splits: A route names several services.
         placed: Number of new flows by service, for each route that names
@@ -200,9 +202,9 @@
     by_host: dict[str, Server] = field(default_factory=dict)
     zones: dict[str, ZoneState] = field(default_factory=dict)
     fleet_known: bool = False
-    known_since: float = float("inf")
-    whole_since: float = float("inf")
-    placing_since: float = float("inf")
+    list_known_since: float = float("inf")
+    list_complete_since: float = float("inf")
+    first_placement_at: float = float("inf")
     splits: bool = False
     placed: dict[bytes, collections.Counter[str]] = field(default_factory=dict)
     rerouted_at: float = float("-inf")
--- a/notchhoist/flows/decisions/attempts.py
+++ b/notchhoist/flows/decisions/attempts.py
@@ -10,11 +10,11 @@
 
 from msgspec import Struct, field
 
-MOST_ATTEMPTS = 6
+ATTEMPTS_MAX = 6
 """Most servers that are asked for a free slot. At a slot utilization of one
 half, one flow in 64 finds none."""
 
-FULL_ATTEMPTS = 2
+ATTEMPTS_WHEN_FULL = 2
 """The same where hardly any slot is free: the shorter of two queues gives
 most of the achievable balance."""
 
@@ -38,7 +38,7 @@
         >>> shares.attempts("feed")
         6
         >>> for _ in range(200):
-        ...     shares.note("feed", busy=True)
+        ...     shares.record("feed", busy=True)
         >>> shares.attempts("feed")
         2
 
@@ -54,7 +54,7 @@
     means: dict[str, float] = field(default_factory=dict)
     counts: dict[str, int] = field(default_factory=dict)
 
-    def note(self, service: str, busy: bool) -> None:
+    def record(self, service: str, busy: bool) -> None:
         """Records an answer to an attempt.
 
         Args:
@@ -85,4 +85,4 @@
     def attempts(self, service: str) -> int:
         """Returns how many servers to ask for a free slot."""
         is_full = self.share(service) > FULL_SHARE
-        return FULL_ATTEMPTS if is_full else MOST_ATTEMPTS
+        return ATTEMPTS_WHEN_FULL if is_full else ATTEMPTS_MAX
--- a/notchhoist/flows/decisions/completeness.py
+++ b/notchhoist/flows/decisions/completeness.py
@@ -11,18 +11,18 @@
 
 from notchhoist.flows.model.fleet import Server
 
-RETURN_S = 2.2
+REANNOUNCE_S = 2.2
 """A server that became unlisted in an outage of the store is listed again
 within about 2 s of its recovery; a tenth more covers clock differences and
 delays."""
 
 
-LEAST_AWAY_S = 0.3
+RESTART_MIN_S = 0.3
 """Shortest time from the exit of a process until its successor answers,
 seconds."""
 
 
-def saw_all_since_power(
+def saw_all_flows(
     servers: Sequence[Server], started_at: float, placing_since: float
 ) -> bool:
     """Tells whether an agent has seen every flow of its server begin.
@@ -30,7 +30,7 @@
     If every server of a service was in slow start when it was first seen, the
     whole service has restarted, and its flows are no older than the first
     balancer that could place one. An agent that had started by then has seen
-    them all. So has one that started at most ``LEAST_AWAY_S`` later: no
+    them all. So has one that started at most ``RESTART_MIN_S`` later: no
     previous incarnation of it can have exited in between.
 
     Without this rule a sample packet of each flow that has ended is sent to
@@ -43,12 +43,14 @@
         placing_since: Earliest time at which any balancer may have placed a
             flow, seconds.
     """
-    if started_at > placing_since + LEAST_AWAY_S:
+    if started_at > placing_since + RESTART_MIN_S:
         return False
     return bool(servers) and all(server.began_cold for server in servers)
 
 
-def is_settled(whole_since: float, store_failed_at: float, now: float) -> bool:
+def is_list_stable(
+    whole_since: float, store_failed_at: float, now: float
+) -> bool:
     """Tells whether servers unlisted before the list was read are back.
 
     Once this holds, a later failure of the store hides no server: a server that
@@ -56,9 +58,9 @@
     with the next confirmation, which contains every change since the last.
 
     Examples:
-        >>> is_settled(whole_since=0.0, store_failed_at=1.0, now=4.0)
+        >>> is_list_stable(whole_since=0.0, store_failed_at=1.0, now=4.0)
         True
-        >>> is_settled(whole_since=3.0, store_failed_at=1.0, now=4.0)
+        >>> is_list_stable(whole_since=3.0, store_failed_at=1.0, now=4.0)
         False
 
     Args:
@@ -67,7 +69,7 @@
         store_failed_at: When the store last failed this balancer, seconds.
         now: Runtime clock, seconds.
     """
-    return now - max(whole_since, store_failed_at) >= RETURN_S
+    return now - max(whole_since, store_failed_at) >= REANNOUNCE_S
 
 
 def is_complete(
@@ -90,12 +92,12 @@
 
     Args:
         servers: Known servers of the service.
-        settled: The list has been stable once; see ``is_settled``.
+        settled: The list has been stable once; see ``is_list_stable``.
         store_failed_at: When the store last failed this balancer, seconds.
         now: Runtime clock, seconds.
     """
     if settled:
         return True
-    if now - store_failed_at < RETURN_S:
+    if now - store_failed_at < REANNOUNCE_S:
         return False
     return bool(servers) and all(server.began_cold for server in servers)
--- a/notchhoist/flows/decisions/failing.py
+++ b/notchhoist/flows/decisions/failure_detection.py
@@ -107,7 +107,7 @@
         success_share = 1.0 - min(self.failing, FAILING_SHARE_MAX)
         return success_share**-SLOWDOWN_EXPONENT
 
-    def news(self) -> str:
+    def pop_state_change(self) -> str:
         """Updates ``is_failing`` and returns the outcome to log.
 
         Returns:
--- a/notchhoist/flows/decisions/holding.py
+++ b/notchhoist/flows/decisions/queued_requests.py
@@ -12,12 +12,12 @@
 from notchhoist.flows.model.segments import Segment
 from notchhoist.flows.model.wishes import RETRY_S, Wish
 
-HOLD_MAX_S = 0.9
+DEFAULT_WAIT_MAX_S = 0.9
 """A caller whose timeout is not known is assumed to wait this long, seconds:
 below half of the shortest timeout, 2 s, which leaves time for a retry."""
 
 OPEN_FLOW_WAIT_MAX_S = 1.5
-HOLD_OPEN_OBJECTIVES = 6.0
+OPEN_FLOW_WAIT_OBJECTIVES = 6.0
 """The same for a request on an open flow, which cannot be refused: this many
 latency objectives, but at most 1.5 s. When late requests were forwarded after
 0.9 s, they took half of the slots of a service at twice its usual load."""
@@ -43,7 +43,7 @@
 flight."""
 
 
-class HeldRequest(Struct, eq=False):
+class QueuedRequest(Struct, eq=False):
     """A request that waits for a slot.
 
     Attributes:
@@ -72,24 +72,24 @@
         return self.arrived_at - self.wish.age_s + self.wish.objective_s
 
     @property
-    def ends_at(self) -> float:
+    def expires_at(self) -> float:
         """When its caller's timeout ends, known or assumed, seconds."""
         left_s = self.wish.left_s or self._default_left_s()
         return self.arrived_at + left_s
 
     def _default_left_s(self) -> float:
         if self.unopened or not self.wish.objective_s:
-            return HOLD_MAX_S
-        longest_s = HOLD_OPEN_OBJECTIVES * self.wish.objective_s
+            return DEFAULT_WAIT_MAX_S
+        longest_s = OPEN_FLOW_WAIT_OBJECTIVES * self.wish.objective_s
         return min(OPEN_FLOW_WAIT_MAX_S, longest_s)
 
     def is_late(self, now: float, pace_s: float) -> bool:
         """Tells whether its answer would miss its latency objective."""
         return now + pace_s > self.due
 
-    def last_start(self, pace_s: float) -> float:
+    def latest_start(self, pace_s: float) -> float:
         """Returns the latest time at which a slot is of use to it, seconds."""
-        return self.ends_at - LATEST_START_SERVICE_TIMES * pace_s
+        return self.expires_at - LATEST_START_SERVICE_TIMES * pace_s
 
     def safe_start(self, now: float, pace_s: float) -> float:
         """Returns when it should get a slot to be answered in time, seconds.
@@ -98,12 +98,12 @@
         served as if it were; if it still waits after that time, this is its
         first connection attempt.
         """
-        ends_at = self.ends_at
+        ends_at = self.expires_at
         if self.wish.may_be_retry and now <= ends_at - RETRY_S:
             ends_at -= RETRY_S
         return ends_at - SAFE_START_SERVICE_TIMES * pace_s
 
-    def is_given_up(self, segment: Segment, now: float) -> bool:
+    def shows_abandonment(self, segment: Segment, now: float) -> bool:
         """Tells whether a packet shows that the caller abandoned the request.
 
         Args:
--- a/notchhoist/flows/decisions/queueing.py
+++ b/notchhoist/flows/decisions/queueing.py
@@ -16,7 +16,7 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.decisions.holding import HeldRequest
+from notchhoist.flows.decisions.queued_requests import QueuedRequest
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
 from notchhoist.flows.model.wishes import Wish
 
@@ -100,11 +100,11 @@
 
     def pick(
         self,
-        waiting: Collection[HeldRequest],
+        waiting: Collection[QueuedRequest],
         now: float,
         pace_s: float,
         slots: int,
-    ) -> HeldRequest | None:
+    ) -> QueuedRequest | None:
         """Returns the request that gets the next slot, or None.
 
         Args:
@@ -117,8 +117,8 @@
             return min(waiting, key=lambda item: item.arrived_at, default=None)
         not_closing = [item for item in waiting if not item.closes]
         waiting = not_closing or list(waiting)
-        late: list[HeldRequest] = []
-        on_time: list[HeldRequest] = []
+        late: list[QueuedRequest] = []
+        on_time: list[QueuedRequest] = []
         for item in waiting:
             is_late = item.is_late(now, pace_s)
             if not is_late:
@@ -137,14 +137,14 @@
         self.late_credit -= 1.0
         return first_servable(late, now, pace_s) or best
 
-    def _rank(self, item: HeldRequest) -> tuple[int, float]:
+    def _rank(self, item: QueuedRequest) -> tuple[int, float]:
         priority = item.wish.priority if self.uses.priority else 0
         return priority, item.due
 
 
-def hopeless(
-    waiting: Iterable[HeldRequest], now: float, pace_s: float, slots: int
-) -> list[HeldRequest]:
+def unservable(
+    waiting: Iterable[QueuedRequest], now: float, pace_s: float, slots: int
+) -> list[QueuedRequest]:
     """Returns late requests that get no slot even if late ones get all slots.
 
     They are refused at once, not only at their callers' timeouts. Nothing is
@@ -157,11 +157,11 @@
         slots: Slots of the backend server.
     """
     late = [item for item in waiting if item.is_late(now, pace_s)]
-    late.sort(key=lambda item: (item.closes, item.last_start(pace_s)))
+    late.sort(key=lambda item: (item.closes, item.latest_start(pace_s)))
     start = now
     dropped = []
     for item in late:
-        if start > item.last_start(pace_s):
+        if start > item.latest_start(pace_s):
             dropped.append(item)
         else:
             start += pace_s / max(1, slots)
@@ -169,8 +169,8 @@
 
 
 def first_servable(
-    late: Sequence[HeldRequest], now: float, pace_s: float
-) -> HeldRequest | None:
+    late: Sequence[QueuedRequest], now: float, pace_s: float
+) -> QueuedRequest | None:
     """Returns the first late request that can still be answered in time.
 
     If there is none, returns the first one, or None if there are no requests.
@@ -181,13 +181,13 @@
         pace_s: Service time, seconds.
     """
     for item in late:
-        if now <= item.last_start(pace_s):
+        if now <= item.latest_start(pace_s):
             return item
     return late[0] if late else None
 
 
 def has_urgent(
-    late: Sequence[HeldRequest], now: float, pace_s: float, slots: int
+    late: Sequence[QueuedRequest], now: float, pace_s: float, slots: int
 ) -> bool:
     """Tells whether a late request is abandoned unless late ones go first now.
 
@@ -200,7 +200,7 @@
     start = now
     interval_s = pace_s / max(1, slots)
     for item in late:
-        if now > item.last_start(pace_s):
+        if now > item.latest_start(pace_s):
             continue
         start += interval_s
         if start > item.safe_start(now, pace_s):
--- a/notchhoist/flows/decisions/ending.py
+++ b/notchhoist/flows/decisions/server_exit.py
@@ -5,16 +5,16 @@
 server.
 """
 
-from notchhoist.flows.decisions.completeness import RETURN_S
+from notchhoist.flows.decisions.completeness import REANNOUNCE_S
 from notchhoist.flows.model.fleet import Server
 
-LEFT_S = 3.0
+ANNOUNCED_EXIT_S = 3.0
 """A server that announced its drain and became unlisted has exited if its host
 has refused connections for this long, seconds. This must be longer than an
 agent takes to start on the host with the least CPU after a power loss, and
 shorter than searches wait for silent agents."""
 
-GONE_S = 4.0
+UNANNOUNCED_EXIT_S = 4.0
 """A server that announced nothing has exited if its host has refused
 connections for this long after it became unlisted, seconds: longer than a
 killed process takes to restart."""
@@ -24,7 +24,7 @@
 not count."""
 
 
-def has_announced(server: Server) -> bool:
+def has_announced_drain(server: Server) -> bool:
     """Tells whether a server has announced that it drains.
 
     An entry that is treated as draining because it could not be read does not
@@ -33,7 +33,7 @@
     return server.entry.draining and not server.entry.withdrawn
 
 
-def has_ended(server: Server, store_failed_at: float, now: float) -> bool:
+def has_exited(server: Server, store_failed_at: float, now: float) -> bool:
     """Tells whether a server has exited together with its agent.
 
     This is so if the server is unlisted, not only because of an outage of the
@@ -44,9 +44,9 @@
         >>> entry = ServerEntry("s", "hallbook", "10.0.0.1", "a", 3, False)
         >>> exited = Server(entry, 1, 0.0, unlisted_at=5.0, refused_since=5.0)
         >>> exited.checked_at = 9.0
-        >>> has_ended(exited, 0.0, 9.0), has_ended(exited, 4.0, 9.0)
+        >>> has_exited(exited, 0.0, 9.0), has_exited(exited, 4.0, 9.0)
         (True, False)
-        >>> has_ended(exited, 0.0, 10.5)  # The last check is too old.
+        >>> has_exited(exited, 0.0, 10.5)  # The last check is too old.
         False
 
     Args:
@@ -59,7 +59,7 @@
     if now - server.checked_at > REFUSAL_MAX_AGE_S:
         return False
     # Servers that became unlisted in a store outage are listed again soon.
-    since = max(server.refused_since, store_failed_at + RETURN_S)
-    if has_announced(server):
-        return now - since >= LEFT_S
-    return now - max(since, server.unlisted_at) >= GONE_S
+    since = max(server.refused_since, store_failed_at + REANNOUNCE_S)
+    if has_announced_drain(server):
+        return now - since >= ANNOUNCED_EXIT_S
+    return now - max(since, server.unlisted_at) >= UNANNOUNCED_EXIT_S
--- a/notchhoist/flows/decisions/placing.py
+++ b/notchhoist/flows/decisions/server_selection.py
@@ -4,11 +4,14 @@
 from collections.abc import Collection, Mapping, Sequence
 
 from notchhoist.base.draws import Draw
-from notchhoist.flows.decisions.reaching import USUAL_COSTS, FarCosts
+from notchhoist.flows.decisions.zone_distance import (
+    DEFAULT_PENALTY,
+    RemotePenalty,
+)
 from notchhoist.flows.model.fleet import RequestKind, Server
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
 
-CHOICES = 8
+CANDIDATES_MAX = 8
 """Most candidates for a flow. Two give most of the achievable balance; eight
 leave room for servers that drain, are slow or silent, and cover services of ten
 servers, the size that the system is designed for."""
@@ -36,9 +39,9 @@
 
 NEVER_HEARD = float("-inf")
 
-NO_PENALTIES: Mapping[str, FarCosts] = {}
+NO_PENALTIES: Mapping[str, RemotePenalty] = {}
 
-LAPSED_S = 2.2
+UNLISTED_USE_MAX_S = 2.2
 """How long an unlisted server may still be used, seconds: one that runs
 announces itself again within about 2 s, and one that has exited must get no
 flow after 3 s."""
@@ -78,7 +81,7 @@
         Thaler and Ravishankar, "Using name-based mappings to increase hit
         rates", 1998; Mitzenmacher, "The power of two choices", 2001.
     """
-    if len(servers) <= CHOICES:
+    if len(servers) <= CANDIDATES_MAX:
         return list(servers)
     ranked = sorted(
         servers,
@@ -88,10 +91,10 @@
         :LOCAL_CANDIDATES_MAX
     ]
     remaining = [item for item in ranked if item not in local]
-    return local + remaining[: CHOICES - len(local)]
+    return local + remaining[: CANDIDATES_MAX - len(local)]
 
 
-def open_to_new(
+def outside_evacuated_zones(
     servers: Sequence[Server], evacuated: Collection[str]
 ) -> Sequence[Server]:
     """Returns the servers whose availability zones take new flows.
@@ -105,18 +108,20 @@
     return [item for item in servers if item.entry.zone not in evacuated]
 
 
-def is_willing(server: Server, now: float) -> bool:
+def accepts_new_flows(server: Server, now: float) -> bool:
     """Tells whether a server takes new flows, according to its entry.
 
     Args:
         server: The server.
         now: Runtime clock, seconds.
     """
-    usable_entry = server.listed or now - server.unlisted_at < LAPSED_S
+    usable_entry = (
+        server.listed or now - server.unlisted_at < UNLISTED_USE_MAX_S
+    )
     return usable_entry and not server.entry.draining
 
 
-def usable(servers: Sequence[Server], now: float) -> list[Server]:
+def usable_servers(servers: Sequence[Server], now: float) -> list[Server]:
     """Returns the servers that may get a new flow.
 
     Suspected servers are returned only if there are no others.
@@ -125,7 +130,7 @@
         servers: Known servers of a service, in zones that take new flows.
         now: Runtime clock, seconds.
     """
-    accepting = [server for server in servers if is_willing(server, now)]
+    accepting = [server for server in servers if accepts_new_flows(server, now)]
     listed = [server for server in accepting if server.listed]
     if len(listed) >= LISTED_MIN_SHARE * len(accepting):
         accepting = listed
@@ -134,7 +139,7 @@
     return answering or [server for server in accepting if not server.lost]
 
 
-def capacity(server: Server, median_ms: float) -> float:
+def effective_slots(server: Server, median_ms: float) -> float:
     """Returns a server's slots, reduced if its service time is an outlier.
 
     Args:
@@ -148,14 +153,14 @@
     return slots
 
 
-def choose(
+def choose_server(
     servers: Sequence[Server],
     kind: RequestKind,
     zone: str,
     now: float,
     draw: Draw,
     uses: Mechanisms = ALL,
-    costs: Mapping[str, FarCosts] = NO_PENALTIES,
+    costs: Mapping[str, RemotePenalty] = NO_PENALTIES,
 ) -> Server | None:
     """Returns the server for a new flow, or None if there are no servers.
 
@@ -181,16 +186,16 @@
     median_ms = median([item.pace_ms for item in servers if item.pace_ms])
     if not uses.pace:
         median_ms = 0.0
-    slot_counts = [capacity(server, median_ms) for server in servers]
+    slot_counts = [effective_slots(server, median_ms) for server in servers]
     mean_flows = sum(server.flows for server in servers) / sum(slot_counts)
     reported_flows = _mean_reported_flows(servers)
     best = None
     best_score = float("inf")
     for server, slot_count in zip(servers, slot_counts, strict=True):
-        penalized = server.entry.zone != zone or is_unwell(
+        penalized = server.entry.zone != zone or is_slow(
             server, slot_count, now
         )
-        cost = costs.get(server.entry.zone, USUAL_COSTS)
+        cost = costs.get(server.entry.zone, DEFAULT_PENALTY)
         score, penalty = _score(
             server, slot_count, kind, cost, mean_flows, reported_flows
         )
@@ -205,7 +210,7 @@
     server: Server,
     slot_count: float,
     kind: RequestKind,
-    cost: FarCosts,
+    cost: RemotePenalty,
     mean_flows: float,
     reported_flows: float,
 ) -> tuple[float, float]:
@@ -213,7 +218,7 @@
 
     Args:
         server: The server.
-        slot_count: Its effective slots; see ``capacity``.
+        slot_count: Its effective slots; see ``effective_slots``.
         kind: Kind of the flow's requests.
         cost: Penalty of its zone.
         mean_flows: Open flows per effective slot over all servers.
@@ -224,10 +229,10 @@
         upload = kind is RequestKind.UPLOAD
         penalty = UPLOAD_REMOTE_WAIT if upload else cost.wait
         return _expected_wait(server, slot_count, mean_flows), penalty
-    unheard = cost.is_long and server.heard_at == NEVER_HEARD
+    unheard = cost.is_significant and server.heard_at == NEVER_HEARD
     flows = max(server.flows, reported_flows) if unheard else server.flows
     # A long distance is penalized among idle servers, too.
-    least_flows = 1.0 if cost.is_long else 0.0
+    least_flows = 1.0 if cost.is_significant else 0.0
     return (flows + 1) / slot_count, cost.flows * max(mean_flows, least_flows)
 
 
@@ -237,12 +242,12 @@
     return sum(heard) / len(heard) if heard else 0.0
 
 
-def is_unwell(server: Server, slot_count: float, now: float) -> bool:
+def is_slow(server: Server, slot_count: float, now: float) -> bool:
     """Tells whether a server is too slow to be preferred in the local zone.
 
     Args:
         server: The server.
-        slot_count: Its effective slots; see ``capacity``.
+        slot_count: Its effective slots; see ``effective_slots``.
         now: Runtime clock, seconds.
     """
     return (
--- a/notchhoist/flows/decisions/bearing.py
+++ b/notchhoist/flows/decisions/slow_start.py
@@ -19,12 +19,12 @@
 which moves flows closer together."""
 
 
-class SlidingCount(Struct, eq=False):
+class SlidingWindowCounter(Struct, eq=False):
     """Counts events in a sliding window of ``WINDOW_S``.
 
     Examples:
-        >>> count = SlidingCount()
-        >>> count.note(10.0), count.note(10.5)
+        >>> count = SlidingWindowCounter()
+        >>> count.record(10.0), count.record(10.5)
         (None, None)
         >>> count.pause_s(2, 10.9)
         0.15
@@ -38,7 +38,7 @@
 
     times: "collections.deque[float]" = field(default_factory=collections.deque)
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Counts one event.
 
         Args:
@@ -80,14 +80,14 @@
     return max(1, math.floor(per_s))
 
 
-def first_limit(per_s: float, overage: float, slack: float) -> int:
+def startup_limit(per_s: float, overage: float, slack: float) -> int:
     """Returns the limit for the first window after the start of an agent.
 
     The agent's previous incarnation may have forwarded up to ``cold_limit``
     flows in the same second.
 
     Examples:
-        >>> first_limit(6.0, 1.5, 5.0), first_limit(20.0, 1.5, 5.0)
+        >>> startup_limit(6.0, 1.5, 5.0), startup_limit(20.0, 1.5, 5.0)
         (6, 14)
 
     Args:
--- a/notchhoist/flows/decisions/tests/test_early.py
+++ b/notchhoist/flows/decisions/tests/test_early_packets.py
@@ -4,7 +4,7 @@
 from msgspec.structs import replace
 
 from notchhoist.flows.balancer.node import make_balancer
-from notchhoist.flows.decisions.early import (
+from notchhoist.flows.decisions.early_packets import (
     DATA_KEPT_S,
     EARLY_PACKETS_MAX,
     EarlyPackets,
--- a/notchhoist/flows/decisions/tests/test_queueing.py
+++ b/notchhoist/flows/decisions/tests/test_queueing.py
@@ -4,8 +4,12 @@
 
 import pytest
 
-from notchhoist.flows.decisions.holding import HeldRequest
-from notchhoist.flows.decisions.queueing import SlotQueue, has_urgent, hopeless
+from notchhoist.flows.decisions.queued_requests import QueuedRequest
+from notchhoist.flows.decisions.queueing import (
+    SlotQueue,
+    has_urgent,
+    unservable,
+)
 from notchhoist.flows.model.held import HeldFlow, Phase
 from notchhoist.flows.model.wishes import RETRY_S, Wish
 
@@ -27,7 +31,7 @@
         may_be_retry=retry,
     )
     held = HeldFlow(Phase.OPEN, "", arrived_at, arrived_at)
-    return HeldRequest(b"", held, [], arrived_at, wish, True, **fields)
+    return QueuedRequest(b"", held, [], arrived_at, wish, True, **fields)
 
 
 def pick(*requests, now=0.0, queue=None):
@@ -87,15 +91,15 @@
 
 def test_requests_that_get_no_slot_in_time_are_found_at_once():
     batch = [waiting(age_s=1.0) for _ in range(100)]
-    dropped = hopeless(batch, 0.0, PACE_S, SLOTS)
+    dropped = unservable(batch, 0.0, PACE_S, SLOTS)
     served = (TIMEOUT_S - 1.0) * CAPACITY
     assert len(dropped) == pytest.approx(100 - served, abs=4)
-    assert not hopeless(batch[:50], 0.0, PACE_S, SLOTS)
+    assert not unservable(batch[:50], 0.0, PACE_S, SLOTS)
 
 
 def test_requests_that_can_be_on_time_are_never_dropped():
     batch = [waiting() for _ in range(500)]
-    assert not hopeless(batch, 0.0, PACE_S, SLOTS)
+    assert not unservable(batch, 0.0, PACE_S, SLOTS)
 
 
 class FirstComeFirstServed:
@@ -138,9 +142,9 @@
         while arrivals and arrivals[0] <= now:
             queued.append(waiting(arrivals.pop(0)))
             queue.note_arrival(queued[-1].wish, now)
-        lost = [item for item in queued if now >= item.ends_at]
+        lost = [item for item in queued if now >= item.expires_at]
         if sheds:
-            lost += hopeless(
+            lost += unservable(
                 [item for item in queued if item not in lost],
                 now,
                 PACE_S,
@@ -155,7 +159,7 @@
             queued.remove(item)
             took_s = PACE_S * rng.uniform(0.6, 1.4)
             free_at[slot] = now + took_s
-            if now + took_s > item.ends_at:
+            if now + took_s > item.expires_at:
                 outcome["lost"] += 1
             else:
                 on_time = now + took_s <= item.due
--- a/notchhoist/flows/decisions/tests/test_placing.py
+++ b/notchhoist/flows/decisions/tests/test_server_selection.py
@@ -1,6 +1,10 @@
 """Tests of the selection of a backend server for a new flow."""
 
-from notchhoist.flows.decisions.placing import LAPSED_S, choose, usable
+from notchhoist.flows.decisions.server_selection import (
+    UNLISTED_USE_MAX_S,
+    choose_server,
+    usable_servers,
+)
 from notchhoist.flows.model.fleet import RequestKind, Server
 from notchhoist.flows.tests.crafting import entry
 
@@ -13,7 +17,7 @@
 
 
 def best(servers, kind=RequestKind.IDEMPOTENT, zone="a", now=10.0):
-    return choose(servers, kind, zone, now, lambda: 0.0)
+    return choose_server(servers, kind, zone, now, lambda: 0.0)
 
 
 def test_nothing_is_chosen_without_servers():
@@ -23,18 +27,18 @@
 def test_many_servers_that_become_unlisted_at_once_are_used_for_a_while():
     """After an outage the store has lost entries of running servers."""
     servers = [server(1), *(server(n, unlisted_at=10.0) for n in (2, 3))]
-    assert len(usable(servers, 10.0 + LAPSED_S / 2)) == 3
+    assert len(usable_servers(servers, 10.0 + UNLISTED_USE_MAX_S / 2)) == 3
 
 
 def test_servers_that_stay_unlisted_get_no_flows_after_the_deadline():
     """Without it they got flows for a minute where most of a service exited."""
     servers = [server(n, unlisted_at=10.0) for n in (1, 2, 3)]
-    assert not usable(servers, 10.01 + LAPSED_S)
+    assert not usable_servers(servers, 10.01 + UNLISTED_USE_MAX_S)
 
 
 def test_single_unlisted_server_gets_no_flows_at_once():
     servers = [server(1), server(2), server(3, unlisted_at=10.0)]
-    assert [item.entry.server_id for item in usable(servers, 10.1)] == [
+    assert [item.entry.server_id for item in usable_servers(servers, 10.1)] == [
         "s1",
         "s2",
     ]
@@ -42,9 +46,11 @@
 
 def test_suspected_servers_come_last():
     servers = [server(1, suspected=True), server(2)]
-    assert [item.entry.server_id for item in usable(servers, 0.0)] == ["s2"]
-    assert usable([server(1, suspected=True)], 0.0)
-    assert not usable([server(1, suspected=True, lost=True)], 0.0)
+    assert [item.entry.server_id for item in usable_servers(servers, 0.0)] == [
+        "s2"
+    ]
+    assert usable_servers([server(1, suspected=True)], 0.0)
+    assert not usable_servers([server(1, suspected=True, lost=True)], 0.0)
 
 
 def test_local_zone_is_preferred_unless_it_is_much_more_loaded():
--- a/notchhoist/flows/decisions/tests/test_bearing.py
+++ b/notchhoist/flows/decisions/tests/test_slow_start.py
@@ -5,10 +5,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchhoist.flows.decisions.bearing import (
-    SlidingCount,
+from notchhoist.flows.decisions.slow_start import (
+    SlidingWindowCounter,
     cold_limit,
-    first_limit,
+    startup_limit,
 )
 
 
@@ -22,11 +22,11 @@
 
 def forwarded_times(arrivals, most):
     """Returns the arrivals that a limit lets through."""
-    count = SlidingCount()
+    count = SlidingWindowCounter()
     forwarded = []
     for time in arrivals:
         if not count.pause_s(most, time):
-            count.note(time)
+            count.record(time)
             forwarded.append(time)
     return forwarded
 
@@ -58,15 +58,15 @@
     first = forwarded_times(before, cold_limit(per_s))
     started_at = after[0] if after else 0.0
     early = [time for time in after if time < started_at + 1.05]
-    second = forwarded_times(early, first_limit(per_s, overage, slack))
+    second = forwarded_times(early, startup_limit(per_s, overage, slack))
     allowed = max(per_s * overage + slack, 1.0)
     assert busiest_second(first + second) <= math.floor(allowed)
 
 
 def test_pause_ends_when_one_more_event_is_allowed():
-    count = SlidingCount()
+    count = SlidingWindowCounter()
     for time in (0.0, 0.1, 0.2):
-        count.note(time)
+        count.record(time)
     pause = count.pause_s(3, 0.5)
     assert pause > 0
     assert count.pause_s(3, 0.5 + pause + 1e-6) == 0.0
--- a/notchhoist/flows/decisions/reaching.py
+++ b/notchhoist/flows/decisions/zone_distance.py
@@ -30,10 +30,10 @@
 """Upper bound of the slot utilization in the queueing model, since waiting
 times diverge at 1."""
 
-ONCE_TRIPS = 2
+SINGLE_REQUEST_ROUND_TRIPS = 2
 """Round trips of a flow of one request: the handshake and the request."""
 
-LONG_TRIPS = 10
+MULTI_REQUEST_ROUND_TRIPS = 10
 """Round trips that a flow of many requests is assumed to take at least."""
 
 ACCEPT_WAIT_S = 0.06
@@ -48,30 +48,30 @@
 """Round trips after which an acceptance that has not arrived counts as lost."""
 
 
-class FarCosts(Struct, frozen=True):
+class RemotePenalty(Struct, frozen=True):
     """How much better a server of a remote zone must be than a local one.
 
     Attributes:
         flows: Margin in open flows, as a share of their mean number.
         wait: Margin in waiting time, in service times.
-        extra_s: How much longer a round trip to the zone takes,
+        extra_round_trip_s: How much longer a round trip to the zone takes,
             seconds; 0 if that is short or not known.
     """
 
     flows: float = REMOTE_FLOWS_MARGIN
     wait: float = REMOTE_WAIT_MARGIN
-    extra_s: float = 0.0
+    extra_round_trip_s: float = 0.0
 
     @property
-    def is_long(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether the round trip is long compared with a service time."""
-        return self.extra_s > 0.0
+        return self.extra_round_trip_s > 0.0
 
 
-USUAL_COSTS = FarCosts()
+DEFAULT_PENALTY = RemotePenalty()
 
 
-def far_costs(extra_s: float, pace_s: float, busy: float) -> FarCosts:
+def remote_penalty(extra_s: float, pace_s: float, busy: float) -> RemotePenalty:
     """Returns the penalty for servers of a remote zone.
 
     Args:
@@ -80,20 +80,22 @@
         busy: Slot utilization.
 
     Examples:
-        >>> far_costs(0.003, 0.05, 0.5) == USUAL_COSTS
+        >>> remote_penalty(0.003, 0.05, 0.5) == DEFAULT_PENALTY
         True
-        >>> far_costs(0.0096, 0.015, 0.25).flows > REMOTE_FLOWS_MARGIN
+        >>> remote_penalty(0.0096, 0.015, 0.25).flows > REMOTE_FLOWS_MARGIN
         True
     """
     share = extra_s / pace_s if pace_s else 0.0
     if share <= SHORT_SHARE:
-        return USUAL_COSTS
+        return DEFAULT_PENALTY
     flows = min(
         REMOTE_FLOWS_MARGIN_MAX,
         max(REMOTE_FLOWS_MARGIN, _load_margin(share, busy)),
     )
-    wait = REMOTE_WAIT_MARGIN + ONCE_TRIPS * (share - SHORT_SHARE)
-    return FarCosts(flows, wait, extra_s)
+    wait = REMOTE_WAIT_MARGIN + SINGLE_REQUEST_ROUND_TRIPS * (
+        share - SHORT_SHARE
+    )
+    return RemotePenalty(flows, wait, extra_s)
 
 
 def _load_margin(share: float, busy: float) -> float:
@@ -112,7 +114,7 @@
     return wait / (1 + wait) / busy - 1
 
 
-def wait_s(ahead: int, slots: int, pace_s: float) -> float:
+def queueing_delay_s(ahead: int, slots: int, pace_s: float) -> float:
     """Returns how long a request waits at a busy server, seconds.
 
     Requests that hold a slot are assumed to be half done on average.
--- a/notchhoist/flows/published/fleet_keeper.py
+++ b/notchhoist/flows/published/fleet_keeper.py
@@ -77,12 +77,14 @@
                     self.on_removed(server_id, revision, now)
             self.eras.listing_pending = False
         self.board.view.note_whole(revision)
-        self.board.whole_since = now
+        self.board.list_complete_since = now
         self._log_listing(entries, changed, revision)
         if not self.board.fleet_known:
             self.board.fleet_known = True
-            self.board.known_since = now
-            self.board.placing_since = min(self.board.placing_since, now)
+            self.board.list_known_since = now
+            self.board.first_placement_at = min(
+                self.board.first_placement_at, now
+            )
 
     def _log_listing(
         self,
@@ -238,7 +240,7 @@
         """Records that an entry is unlisted."""
         if server_id not in self.board.view.changed_at:
             # A server was missed whose process may still run.
-            self.board.whole_since = now
+            self.board.list_complete_since = now
         if not self.board.view.remove_server(server_id, revision):
             return
         server = self.board.servers.get(server_id)
--- a/notchhoist/flows/published/sharing.py
+++ b/notchhoist/flows/published/sharing.py
@@ -169,7 +169,7 @@
             self.board.outbox.append(SendPeer(host, message))
 
     def _placing_for_ms(self, now: float) -> int:
-        since = self.board.placing_since
+        since = self.board.first_placement_at
         return max(1, int((now - since) * 1000)) if since <= now else 0
 
     def _push_updates(self, now: float) -> None:
@@ -239,7 +239,9 @@
             self.membership.on_member(member, now)
         if update.placing_for_ms:
             since = now - update.placing_for_ms / 1000
-            self.board.placing_since = min(self.board.placing_since, since)
+            self.board.first_placement_at = min(
+                self.board.first_placement_at, since
+            )
         sent_at = self.asked_at.get(update.asked, now)
         reroutings.on_reroute_age(self.board, update.rerouted_for_ms, sent_at)
 
--- a/notchhoist/testing/opaque/tests/test_leaving.py
+++ b/notchhoist/testing/opaque/tests/test_leaving.py
@@ -1,7 +1,7 @@
 """Servers that leave while balancers do not heed it: agents stop them."""
 
 from notchhoist.flows.agent.bearing import OpeningGate
-from notchhoist.flows.decisions import placing
+from notchhoist.flows.decisions import server_selection
 from notchhoist.testing.opaque import troubles
 from notchhoist.testing.opaque.experiment import make_world, play
 
@@ -12,7 +12,7 @@
 
 
 def late_flows(monkeypatch, agents):
-    monkeypatch.setattr(placing, "usable", heedless)
+    monkeypatch.setattr(server_selection, "usable_servers", heedless)
     if not agents:
         monkeypatch.setattr(OpeningGate, "has_left", lambda *_: False)
     world = play("release", seed=7, seconds=12.0)
