--- a/notchhoist/daemon/flow_runner.py
+++ b/notchhoist/daemon/flow_runner.py
@@ -125,14 +125,14 @@
     """Begins to read the platform's store."""
     from notchhoist.daemon.http_call import HttpCaller
     from notchhoist.daemon.store_calls import StoreCalls
-    from notchhoist.flows.published.budget import Budget
+    from notchhoist.flows.published.budget import PropagationBudget
     from notchhoist.platform.feeding import StoreFeeder
     from notchhoist.platform.store import StoreReader
 
     settings, loop = daemon.settings, daemon.loop
     bound_s = min(settings.apply_s, settings.drain_s, settings.evacuate_s)
-    budget = Budget(bound_s)
-    node.sharer.fresh_s = budget.fresh_s
+    budget = PropagationBudget(bound_s)
+    node.sharer.max_age_s = budget.max_age_s
     draw = make_draw(settings.name)
     reader = StoreReader(draw, budget.watch_s, budget.answer_s)
     calls = StoreCalls(
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -142,7 +142,7 @@
     left_s = states.cold_until(board, server) - now
     return {
         "evacuated": states.is_evacuated(board, server),
-        "bears_per_s": states.borne_per_s(board, server, now) or None,
+        "bears_per_s": states.cold_bound_per_s(board, server, now) or None,
         "cold_for_s": round(left_s, 3) if left_s > 0 else 0.0,
         "full_for_s": max(0.0, round(server.full_until - now, 3)),
         "born_ms": server.entry.born_ms or None,
@@ -230,7 +230,7 @@
 
 
 def _balancers(node: BalancerNode, now: float) -> Iterator[Row]:
-    for host, heard_at in node.sharer.membership.heard.items():
+    for host, heard_at in node.sharer.membership.last_heard.items():
         yield {"peer": host, "heard_s": _age(now, heard_at)}
 
 
--- a/notchhoist/flows/balancer/health.py
+++ b/notchhoist/flows/balancer/health.py
@@ -11,7 +11,7 @@
 from notchhoist.flows.model.messages import LoadAsk, LoadTell
 from notchhoist.flows.model.notes import Load
 from notchhoist.flows.model.records import Count
-from notchhoist.flows.published.states import concerns_agent, state_of
+from notchhoist.flows.published.states import needs_agent_update, server_state
 
 LOAD_FRESH_S = 0.5
 """An agent that was heard within this time is not probed for its load."""
@@ -113,8 +113,8 @@
         server.probe_sent_at = now
         self.awaiting_reply[server.entry.server_id] = server
         state = None
-        if concerns_agent(self.board, server):
-            state = state_of(self.board, server, now)
+        if needs_agent_update(self.board, server):
+            state = server_state(self.board, server, now)
             server.state_told = state.revision
             server.told_at = now
         message = LoadAsk(server.entry.slots, state)
--- a/notchhoist/flows/balancer/informing.py
+++ b/notchhoist/flows/balancer/informing.py
@@ -13,8 +13,8 @@
 from notchhoist.flows.model.effects import SendPeer
 from notchhoist.flows.model.fleet import Server
 from notchhoist.flows.model.messages import LoadAsk, LoadTell
-from notchhoist.flows.published.sharing import ViewSharer
-from notchhoist.flows.published.states import concerns_agent, state_of
+from notchhoist.flows.published.states import needs_agent_update, server_state
+from notchhoist.flows.published.view_sync import ViewSynchronizer
 
 RESEND_AFTER_S = 0.2
 """Time until a state that an agent has not confirmed is sent again, seconds: 60
@@ -50,7 +50,7 @@
     """
 
     board: BalancerBoard
-    sharer: ViewSharer
+    sharer: ViewSynchronizer
     queued_revision: int = 0
     pending: dict[str, PendingState] = field(default_factory=dict)
 
@@ -78,7 +78,7 @@
             newest = self.board.view.state_revision(entry)
             if not server.listed or newest <= previous:
                 continue
-            if concerns_agent(self.board, server):
+            if needs_agent_update(self.board, server):
                 self.pending[entry.server_id] = PendingState(server, now)
 
     def _send_pending(self, update: PendingState, now: float) -> None:
@@ -88,7 +88,7 @@
 
     def send_state(self, server: Server, now: float) -> None:
         """Sends an agent the published state of its server."""
-        state = state_of(self.board, server, now)
+        state = server_state(self.board, server, now)
         server.state_told = state.revision
         server.told_at = now
         message = LoadAsk(server.entry.slots, state)
@@ -102,13 +102,15 @@
         it.
         """
         newest = self.board.view.state_revision(server.entry)
-        if server.state_told < newest and concerns_agent(self.board, server):
+        if server.state_told < newest and needs_agent_update(
+            self.board, server
+        ):
             self.send_state(server, now)
 
     def on_load_tell(self, host: str, message: LoadTell, now: float) -> None:
         """Handles an agent's report of the state revision that it has."""
         server = self.board.by_host.get(host)
-        if server is None or not concerns_agent(self.board, server):
+        if server is None or not needs_agent_update(self.board, server):
             return
         newest = self.board.view.state_revision(server.entry)
         if message.state_revision >= newest:
--- a/notchhoist/flows/balancer/isolation.py
+++ b/notchhoist/flows/balancer/isolation.py
@@ -11,7 +11,7 @@
 from notchhoist.flows.balancer.health import HealthKeeper
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.model.records import Count
-from notchhoist.flows.published.sharing import ViewSharer
+from notchhoist.flows.published.view_sync import ViewSynchronizer
 
 ASK_BALANCERS_AFTER_S = 0.15
 """Silence of all agents after which other balancers are queried, seconds; equal
@@ -41,7 +41,7 @@
 
     board: BalancerBoard
     health: HealthKeeper
-    sharer: ViewSharer
+    sharer: ViewSynchronizer
     asked_at: float | None = None
 
     def tick(self, now: float) -> None:
@@ -61,9 +61,9 @@
             self._set_isolated(False, now)
             if now - self.asked_at >= ASK_BALANCERS_EVERY_S:
                 self.asked_at = now
-                self.sharer.ask_widely(now)
+                self.sharer.query_several(now)
             return
-        self.sharer.ask_widely(now)
+        self.sharer.query_several(now)
         if (
             now - self.asked_at >= ISOLATED_AFTER_S
             and self.sharer.knows_others()
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -38,14 +38,14 @@
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
-from notchhoist.flows.published.fleet_keeper import (
-    FleetKeeper,
-    make_fleet_keeper,
+from notchhoist.flows.published.fleet_updater import (
+    FleetUpdater,
+    make_fleet_updater,
 )
-from notchhoist.flows.published.reroutings import Reroutings
-from notchhoist.flows.published.sharing import (
-    ViewSharer,
-    make_view_sharer,
+from notchhoist.flows.published.reroutings import RerouteDetector
+from notchhoist.flows.published.view_sync import (
+    ViewSynchronizer,
+    make_view_synchronizer,
 )
 
 SWEEP_EVERY_S = 1.0
@@ -78,14 +78,14 @@
 
     board: BalancerBoard
     codec: SegmentCodec
-    fleet: FleetKeeper
+    fleet: FleetUpdater
     resetter: FlowResetter
     health: HealthKeeper
     opener: FlowOpener
     forwarder: FlowForwarder
     finder: FlowFinder
-    reroutings: Reroutings
-    sharer: ViewSharer
+    reroutings: RerouteDetector
+    sharer: ViewSynchronizer
     informer: AgentInformer
     isolation: IsolationDetector
     early: EarlyPackets
@@ -208,9 +208,9 @@
             case FlowsTell():
                 self.finder.on_tell(host, message, now)
             case ViewAsk():
-                self.sharer.on_ask(host, message, now)
+                self.sharer.on_query(host, message, now)
             case ViewTell():
-                self.sharer.on_tell(host, message, now)
+                self.sharer.on_update(host, message, now)
             case ViewPiece():
                 self.sharer.on_piece(host, message, now)
         self.on_published(now)
@@ -230,13 +230,13 @@
 
     def on_published(self, now: float) -> None:
         """Handles changes of what the platform publishes."""
-        self.reroutings.look(now)
+        self.reroutings.check(now)
         self._replay_early(now)
 
     def tick(self, now: float) -> list[Effect]:
         """Performs the periodic work that is due."""
         self.early.note_start(now)
-        self.reroutings.look(now)
+        self.reroutings.check(now)
         self.opener.tick(now)
         self.resting.tick(now)
         self.finder.tick(now)
@@ -313,10 +313,10 @@
     distances = make_distances(zone)
     host_checker = HostChecker(board)
     health = HealthKeeper(board, resetter, host_checker, distances, link_mbps)
-    fleet = make_fleet_keeper(board)
+    fleet = make_fleet_updater(board)
     draw, numbers = make_draw(seed), make_draw(f"numbers of {seed}")
     number = first_number(numbers)
-    sharer = make_view_sharer(board, fleet, seeds, link_mbps, number)
+    sharer = make_view_synchronizer(board, fleet, seeds, link_mbps, number)
     informer = AgentInformer(board, sharer)
     questions = make_questions(board, codec, distances, first_number(numbers))
     evidence = Evidence(board)
@@ -343,7 +343,7 @@
         ),
         forwarder=FlowForwarder(board, codec, health),
         finder=finder,
-        reroutings=Reroutings(board),
+        reroutings=RerouteDetector(board),
         sharer=sharer,
         informer=informer,
         isolation=IsolationDetector(board, health, sharer),
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -25,7 +25,7 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 from notchhoist.flows.model.wishes import Wish
-from notchhoist.flows.published.states import bound_of
+from notchhoist.flows.published.states import cold_bound_of
 
 PLACEMENTS_MAX = 200_000
 """Maximum number of placements. At 600 bytes each they would take about 120 MB,
@@ -137,7 +137,7 @@
             self._reject(opening, len(servers), now)
             return
         self.outcomes.end_offer(opening)
-        opening.if_free = if_free and bound_of(board, server).per_s == 0
+        opening.if_free = if_free and cold_bound_of(board, server).per_s == 0
         self._record_offer(opening, server, len(choices), now)
         opening.tried.append(server.entry.server_id)
         opening.sent_at = now
@@ -224,7 +224,7 @@
         if_free: bool = False,
     ) -> None:
         kind = NoteKind.PLACE
-        if bound_of(self.board, server).per_s > 0:
+        if cold_bound_of(self.board, server).per_s > 0:
             kind = NoteKind.PLACE_BOUNDED
         elif if_free:
             kind = NoteKind.PLACE_IF_FREE
--- a/notchhoist/flows/balancer/scope.py
+++ b/notchhoist/flows/balancer/scope.py
@@ -15,7 +15,7 @@
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Search
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment
-from notchhoist.flows.published.reroutings import may_hold_others
+from notchhoist.flows.published.reroutings import may_hold_rerouted_flows
 
 WIDE_QUERIES_MAX = 100_000
 """Maximum number of flow headers in pending queries to agents of services that
@@ -99,7 +99,9 @@
         return fresh
 
     def _may_be_elsewhere(self, now: float) -> bool:
-        return self.board.uses.splits and may_hold_others(self.board, now)
+        return self.board.uses.splits and may_hold_rerouted_flows(
+            self.board, now
+        )
 
     def on_ended(self, search: Search) -> None:
         """Releases the query budget of a search that has ended."""
--- a/notchhoist/flows/balancer/tests/test_splits.py
+++ b/notchhoist/flows/balancer/tests/test_splits.py
@@ -16,7 +16,7 @@
 )
 from notchhoist.flows.model.notes import NoteKind, service_tag
 from notchhoist.flows.model.view import ViewChange
-from notchhoist.flows.published.reroutings import KEPT_S
+from notchhoist.flows.published.reroutings import REROUTE_KEPT_S
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.agents import agent
 from notchhoist.flows.tests.balancing import (
@@ -150,7 +150,9 @@
     assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
     later = balancer(split_route(*before), services=(OLD, NEW))
     change_routes(later, split_route(*after))
-    assert search_lost_flow(later, [NEW_HOST], 1.1 + KEPT_S)[1] == [NEW_HOST]
+    assert search_lost_flow(later, [NEW_HOST], 1.1 + REROUTE_KEPT_S)[1] == [
+        NEW_HOST
+    ]
 
 
 def test_many_route_changes_and_a_reversal_are_remembered():
--- a/notchhoist/flows/published/__init__.py
+++ b/notchhoist/flows/published/__init__.py
@@ -6,10 +6,11 @@
 * ``eras``: preserves the view over restores of the platform's store.
 * ``zones``: tracks which availability zones are evacuated.
 * ``tables``: applies configurations of the platform and of other balancers.
-* ``fleet_keeper``: applies published changes to the blackboard.
+* ``fleet_updater``: applies published changes to the blackboard.
 * ``states``: the state of a backend server that its agent is sent.
 * ``parts``: splits a change into messages and reassembles it.
 * ``membership``: knows the balancers and selects those that read the store.
 * ``reconciliation``: reconciles views that should be equal.
-* ``sharing``: synchronizes views, so that only a few balancers read the store.
+* ``view_sync``: synchronizes views, so that only a few balancers read the
+  store.
 """
--- a/notchhoist/flows/published/budget.py
+++ b/notchhoist/flows/published/budget.py
@@ -15,12 +15,12 @@
 DEFAULT_DEADLINE_S = 3.0
 
 
-class Budget(Struct, frozen=True):
+class PropagationBudget(Struct, frozen=True):
     """Divides the time until a published change must be in force.
 
     Examples:
-        >>> budget = Budget(3.0)
-        >>> round(budget.watch_s, 2), round(budget.fresh_s, 2)
+        >>> budget = PropagationBudget(3.0)
+        >>> round(budget.watch_s, 2), round(budget.max_age_s, 2)
         (1.05, 1.8)
 
     Attributes:
@@ -35,7 +35,7 @@
         return WATCH_SHARE * self.deadline_s
 
     @property
-    def fresh_s(self) -> float:
+    def max_age_s(self) -> float:
         """Greatest age of a confirmed view that need not be read, seconds."""
         return FRESH_SHARE * self.deadline_s
 
--- a/notchhoist/flows/published/fleet_keeper.py
+++ b/notchhoist/flows/published/fleet_updater.py
@@ -23,7 +23,7 @@
 platform guarantees nothing for older flows."""
 
 
-class FleetKeeper(Struct, eq=False):
+class FleetUpdater(Struct, eq=False):
     """Applies published routes and servers; never reverts to older ones.
 
     Attributes:
@@ -335,8 +335,8 @@
                 board.by_host[server.entry.host] = server
 
 
-def make_fleet_keeper(board: BalancerBoard) -> FleetKeeper:
-    """Creates a ``FleetKeeper`` with its parts on a balancer's blackboard."""
-    return FleetKeeper(
+def make_fleet_updater(board: BalancerBoard) -> FleetUpdater:
+    """Creates a ``FleetUpdater`` with its parts on a balancer's blackboard."""
+    return FleetUpdater(
         board, EraTracker(board), ZoneUpdater(board), TableUpdater(board)
     )
--- a/notchhoist/flows/published/membership.py
+++ b/notchhoist/flows/published/membership.py
@@ -12,7 +12,7 @@
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.model.messages import Member
-from notchhoist.flows.published.asking import MIN_READERS
+from notchhoist.flows.published.query_schedule import MIN_READERS
 
 MEMBERS_PER_READER = 64
 """One more reader for each so many balancers: each sends two queries a second,
@@ -37,15 +37,15 @@
     Attributes:
         board: This balancer's blackboard.
         link_mbps: Bandwidth of its host's link, Mbit/s.
-        heard: When each other balancer was last heard, seconds, by host.
-        links: Bandwidth of their hosts' links, Mbit/s, by host.
+        last_heard: When each other balancer was last heard, seconds, by host.
+        link_mbps_by_host: Bandwidth of their hosts' links, Mbit/s, by host.
         unserved: Hosts of those whose last call the store has not answered.
     """
 
     board: BalancerBoard
     link_mbps: int = 0
-    heard: dict[str, float] = field(default_factory=dict)
-    links: dict[str, int] = field(default_factory=dict)
+    last_heard: dict[str, float] = field(default_factory=dict)
+    link_mbps_by_host: dict[str, int] = field(default_factory=dict)
     unserved: set[str] = field(default_factory=set)
 
     def on_member(self, member: Member, now: float) -> None:
@@ -53,10 +53,10 @@
         if member.host == self.board.host:
             return
         heard_at = now - member.age_ms / 1000
-        if heard_at < self.heard.get(member.host, float("-inf")):
+        if heard_at < self.last_heard.get(member.host, float("-inf")):
             return
-        self.heard[member.host] = heard_at
-        self.links[member.host] = member.link_mbps
+        self.last_heard[member.host] = heard_at
+        self.link_mbps_by_host[member.host] = member.link_mbps
         if member.unserved:
             self.unserved.add(member.host)
         else:
@@ -64,14 +64,14 @@
 
     def on_message(self, host: str, now: float) -> None:
         """Records that a message of another balancer has arrived."""
-        self.heard[host] = now
+        self.last_heard[host] = now
 
     def alive(self, now: float) -> list[str]:
         """Returns the hosts of the balancers that are alive, readers first."""
         return sorted(self._alive(now), key=self._reader_rank)
 
     def _alive(self, now: float) -> set[str]:
-        heard = self.heard.items()
+        heard = self.last_heard.items()
         hosts = {host for host, at in heard if now - at < ALIVE_TIMEOUT_S}
         return {*hosts, self.board.host}
 
@@ -91,7 +91,7 @@
         flows are queued behind it.
         """
         own = host == self.board.host
-        link = self.link_mbps if own else self.links.get(host, 0)
+        link = self.link_mbps if own else self.link_mbps_by_host.get(host, 0)
         return (-link, zlib.crc32(host.encode()), host)
 
     def is_reader(self, now: float) -> bool:
@@ -116,8 +116,10 @@
         unserved = self.is_unserved(host)
         if host == self.board.host:
             return Member(host, self.link_mbps, unserved=unserved)
-        age_ms = int((now - self.heard[host]) * 1000)
-        return Member(host, self.links.get(host, 0), age_ms, unserved)
+        age_ms = int((now - self.last_heard[host]) * 1000)
+        return Member(
+            host, self.link_mbps_by_host.get(host, 0), age_ms, unserved
+        )
 
     def other_hosts(self, seeds: Sequence[str]) -> list[str]:
         """Returns the hosts of other balancers, heard of lately or seeds.
@@ -125,13 +127,13 @@
         Args:
             seeds: Hosts of the balancers that the settings name.
         """
-        hosts = [*self.heard, *seeds]
+        hosts = [*self.last_heard, *seeds]
         return [host for host in hosts if host != self.board.host]
 
     def sweep(self, now: float) -> None:
         """Removes balancers that were not heard for long."""
-        heard = list(self.heard.items())
+        heard = list(self.last_heard.items())
         for host in [host for host, at in heard if now - at > FORGET_AFTER_S]:
-            del self.heard[host]
-            self.links.pop(host, None)
+            del self.last_heard[host]
+            self.link_mbps_by_host.pop(host, None)
             self.unserved.discard(host)
--- a/notchhoist/flows/published/asking.py
+++ b/notchhoist/flows/published/query_schedule.py
@@ -9,7 +9,7 @@
 MIN_READERS = 2
 """Balancers that read the store at least; one of them may fail unnoticed."""
 
-ASK_S = 0.5
+QUERY_INTERVAL_S = 0.5
 """Time between two queries, to the first two readers in turn, seconds."""
 
 BOOTSTRAP_QUERY_INTERVAL_S = 0.1
@@ -29,7 +29,7 @@
     Args:
         view_known: This balancer has a view.
     """
-    return ASK_S if view_known else BOOTSTRAP_QUERY_INTERVAL_S
+    return QUERY_INTERVAL_S if view_known else BOOTSTRAP_QUERY_INTERVAL_S
 
 
 def hosts_to_query(
--- a/notchhoist/flows/published/reconciliation.py
+++ b/notchhoist/flows/published/reconciliation.py
@@ -22,15 +22,15 @@
         membership: Knows the bandwidth of this host's link.
         next_attempt_at: When the next reconciliation may start, seconds.
         backoff_s: Least time between that one and the one after it, seconds.
-        doubtful: Another balancer has other routes with the same version, so
-            the store must be read.
+        needs_store_read: Another balancer has other routes with the same
+            version, so the store must be read.
     """
 
     board: BalancerBoard
     membership: Membership
     next_attempt_at: float = float("-inf")
     backoff_s: float = MIN_RECONCILE_INTERVAL_S
-    doubtful: bool = False
+    needs_store_read: bool = False
 
     def check(self, host: str, change: ViewChange, now: float) -> None:
         """Checks whether a change has led to the view of its sender."""
@@ -56,11 +56,11 @@
     ) -> None:
         """Requests a read of the store, as either of the views may be wrong."""
         if self._try_start("reading everything", host, change, now):
-            self.doubtful = True
+            self.needs_store_read = True
 
     def on_listed(self) -> None:
         """Records that a full listing of the store has been read."""
-        self.doubtful = False
+        self.needs_store_read = False
 
     def request_full_view(
         self, host: str, change: ViewChange, now: float
--- a/notchhoist/flows/published/reroutings.py
+++ b/notchhoist/flows/published/reroutings.py
@@ -15,7 +15,7 @@
 MAX_FLOW_AGE_S = 60.0
 """The platform guarantees nothing for flows that are older, seconds."""
 
-KEPT_S = MAX_FLOW_AGE_S + 5.0
+REROUTE_KEPT_S = MAX_FLOW_AGE_S + 5.0
 """How long a change of a route is remembered, seconds. A reported age counts
 from the query, which may be as old as a balancer that still counts as alive."""
 
@@ -30,7 +30,7 @@
     if board.splits:
         return 1
     age_s = now - board.rerouted_at
-    return max(1, round(age_s * 1000)) if age_s < KEPT_S else 0
+    return max(1, round(age_s * 1000)) if age_s < REROUTE_KEPT_S else 0
 
 
 def on_reroute_age(
@@ -52,12 +52,12 @@
         )
 
 
-def may_hold_others(board: BalancerBoard, now: float) -> bool:
+def may_hold_rerouted_flows(board: BalancerBoard, now: float) -> bool:
     """Returns whether a service may hold flows of routes not naming it."""
-    return board.splits or now - board.rerouted_at < KEPT_S
+    return board.splits or now - board.rerouted_at < REROUTE_KEPT_S
 
 
-class Reroutings(Struct, eq=False):
+class RerouteDetector(Struct, eq=False):
     """Detects routes that no longer name a service.
 
     Attributes:
@@ -68,7 +68,7 @@
     board: BalancerBoard
     last_table: RouteTable | None = None
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Compares the configuration in force with the last one."""
         board = self.board
         table = board.table
--- a/notchhoist/flows/published/states.py
+++ b/notchhoist/flows/published/states.py
@@ -21,24 +21,24 @@
     """
     zone = board.zones.get(server.entry.zone, _NO_ZONE)
     return max(
-        server.warm_at, zone.returned_at + bound_of(board, server).lasts_s
+        server.warm_at, zone.returned_at + cold_bound_of(board, server).lasts_s
     )
 
 
-def bound_of(board: BalancerBoard, server: Server) -> ColdBound:
+def cold_bound_of(board: BalancerBoard, server: Server) -> ColdBound:
     """Returns the cold bound of a server; 0 a second for none."""
     service = server.entry.service
     bound = board.table.cold_bound(service) if board.table else None
     return bound or ColdBound(service, 0.0, 0.0)
 
 
-def borne_per_s(board: BalancerBoard, server: Server, now: float) -> float:
+def cold_bound_per_s(board: BalancerBoard, server: Server, now: float) -> float:
     """Returns the cold bound that applies now, new flows/s; 0 for none."""
-    bound = bound_of(board, server)
+    bound = cold_bound_of(board, server)
     return bound.per_s if now < cold_until(board, server) else 0.0
 
 
-def concerns_agent(board: BalancerBoard, server: Server) -> bool:
+def needs_agent_update(board: BalancerBoard, server: Server) -> bool:
     """Returns whether a server's agent needs the server's published state.
 
     Most agents do not: their server's zone was never evacuated, the service has
@@ -46,14 +46,16 @@
     """
     entry = server.entry
     special = entry.zone in board.zones or entry.draining or server.reborn
-    return special or bound_of(board, server).per_s > 0
+    return special or cold_bound_of(board, server).per_s > 0
 
 
-def state_of(board: BalancerBoard, server: Server, now: float) -> ServerState:
+def server_state(
+    board: BalancerBoard, server: Server, now: float
+) -> ServerState:
     """Returns the published state of a server for its agent."""
     zone = board.zones.get(server.entry.zone, _NO_ZONE)
     since = zone.evacuated_at
-    bound = bound_of(board, server)
+    bound = cold_bound_of(board, server)
     return ServerState(
         revision=board.view.state_revision(server.entry),
         born_ms=server.entry.born_ms,
--- a/notchhoist/flows/published/tables.py
+++ b/notchhoist/flows/published/tables.py
@@ -54,7 +54,7 @@
         self,
         table: RouteTable,
         revision: int,
-        mends: bool = False,
+        replace_same_version: bool = False,
         sender: str = "",
     ) -> None:
         """Puts a configuration in force if it is newer.
@@ -62,12 +62,13 @@
         Args:
             table: The configuration.
             revision: Revision of its change.
-            mends: It also replaces a configuration of the same version.
+            replace_same_version: It also replaces a configuration of the same
+                version.
             sender: Host of the balancer that sent it; empty for the platform.
         """
         board = self.board
         former = board.table
-        if not board.view.put_table(table, revision, mends):
+        if not board.view.put_table(table, revision, replace_same_version):
             return
         board.table = table = board.view.table or table
         before = former.routes if former else {}
--- a/notchhoist/flows/published/tests/test_membership.py
+++ b/notchhoist/flows/published/tests/test_membership.py
@@ -2,8 +2,8 @@
 
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model.messages import Member
-from notchhoist.flows.published.sharing import STORE_RETRY_S
-from notchhoist.flows.published.tests.test_sharing import HOSTS, stable_fleet
+from notchhoist.flows.published.tests.test_view_sync import HOSTS, stable_fleet
+from notchhoist.flows.published.view_sync import STORE_RETRY_S
 from notchhoist.flows.tests.crafting import CODEC
 
 
--- a/notchhoist/flows/published/tests/test_sharing.py
+++ b/notchhoist/flows/published/tests/test_view_sync.py
@@ -9,7 +9,7 @@
 from notchhoist.flows.model.messages import ViewTell
 from notchhoist.flows.model.view import FleetView, ViewChange
 from notchhoist.flows.published.membership import ALIVE_TIMEOUT_S
-from notchhoist.flows.published.sharing import MAX_VIEW_AGE_S
+from notchhoist.flows.published.view_sync import MAX_VIEW_AGE_S
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.crafting import CODEC, entry
 
@@ -116,7 +116,7 @@
 def test_longer_maximum_age_is_used():
     fleet = stable_fleet()
     cut_off = (set(HOSTS) - fleet.readers()).pop()
-    fleet.nodes[cut_off].sharer.fresh_s = 4.5
+    fleet.nodes[cut_off].sharer.max_age_s = 4.5
     fleet.cut = {cut_off}
     fleet.run(fleet.now + MAX_VIEW_AGE_S + 0.1)
     assert not fleet.nodes[cut_off].sharer.must_read(fleet.now) or (
--- a/notchhoist/flows/published/sharing.py
+++ b/notchhoist/flows/published/view_sync.py
@@ -21,12 +21,15 @@
 from notchhoist.flows.model.revisions import era_of
 from notchhoist.flows.model.view import ViewChange
 from notchhoist.flows.published import reroutings
-from notchhoist.flows.published.asking import hosts_to_query, query_interval_s
-from notchhoist.flows.published.budget import Budget
-from notchhoist.flows.published.fleet_keeper import FleetKeeper
+from notchhoist.flows.published.budget import PropagationBudget
+from notchhoist.flows.published.fleet_updater import FleetUpdater
 from notchhoist.flows.published.membership import ALIVE_TIMEOUT_S, Membership
 from notchhoist.flows.published.parts import PartAssembler
 from notchhoist.flows.published.pieces import PieceAssembler
+from notchhoist.flows.published.query_schedule import (
+    hosts_to_query,
+    query_interval_s,
+)
 from notchhoist.flows.published.reconciliation import ViewReconciler
 from notchhoist.flows.published.update_messages import (
     Query,
@@ -34,7 +37,7 @@
     UpdateContext,
 )
 
-MAX_VIEW_AGE_S = Budget().fresh_s
+MAX_VIEW_AGE_S = PropagationBudget().max_age_s
 """Greatest age of a confirmed view that need not be read again, seconds, with
 the default propagation deadline of 3 s."""
 
@@ -53,7 +56,7 @@
 """A query is dropped after this time, seconds; responses to it are stale."""
 
 
-class ViewSharer(Struct, eq=False):
+class ViewSynchronizer(Struct, eq=False):
     """Queries other balancers for published state, responds and pushes updates.
 
     Attributes:
@@ -61,12 +64,12 @@
         fleet: Applies changes.
         seeds: Hosts of some balancers, from the settings.
         membership: Which balancers there are, and which read the store.
-        mender: Reconciles views that should be equal.
-        fresh_s: Greatest age of a confirmed view that need not be read again,
+        reconciler: Reconciles views that should be equal.
+        max_age_s: Greatest age of a confirmed view that need not be read again,
             seconds.
         latest_queries: Latest query of each balancer, by host.
-        asked_at: When each query that may still be answered was sent, seconds,
-            by number.
+        query_sent_at: When each query that may still be answered was sent,
+            seconds, by number.
         last_query_number: Number of the last query; see ``first_number``.
         pushed_revision: Revision that was last pushed.
         query_due: When to send the next query, seconds.
@@ -79,13 +82,13 @@
     """
 
     board: BalancerBoard
-    fleet: FleetKeeper
+    fleet: FleetUpdater
     seeds: tuple[str, ...]
     membership: Membership
-    mender: ViewReconciler
-    fresh_s: float = MAX_VIEW_AGE_S
+    reconciler: ViewReconciler
+    max_age_s: float = MAX_VIEW_AGE_S
     latest_queries: dict[str, Query] = field(default_factory=dict)
-    asked_at: dict[int, float] = field(default_factory=dict)
+    query_sent_at: dict[int, float] = field(default_factory=dict)
     last_query_number: int = 0
     pushed_revision: int = 0
     query_due: float = 0.0
@@ -98,13 +101,13 @@
 
     def stale_at(self) -> float:
         """Returns when the view becomes too old, seconds."""
-        return self.board.confirmed_at + self.fresh_s
+        return self.board.confirmed_at + self.max_age_s
 
     def must_read(self, now: float) -> bool:
         """Returns whether to read the store now."""
         fresh = now < self.stale_at()
         readers_only = self.board.uses.few_readers and self.board.fleet_known
-        if not fresh or not readers_only or self.mender.doubtful:
+        if not fresh or not readers_only or self.reconciler.needs_store_read:
             return True
         if self.membership.is_reader(now):
             return True
@@ -133,7 +136,7 @@
     def _other_seeds(self) -> list[str]:
         return [host for host in self.seeds if host != self.board.host]
 
-    def on_ask(self, host: str, view_query: ViewAsk, now: float) -> None:
+    def on_query(self, host: str, view_query: ViewAsk, now: float) -> None:
         """Responds to a query; sends one back if this balancer has no view.
 
         After a power loss the first balancer that the platform answers queries
@@ -200,7 +203,7 @@
             )
             return
         if update is not None:
-            self.on_tell(host, update, now)
+            self.on_update(host, update, now)
 
     def _is_redundant(self, piece: ViewPiece) -> bool:
         """Returns whether a full view in response to a query is known already.
@@ -212,7 +215,7 @@
         known = self.board.fleet_known and piece.asked > 0 and not piece.base
         return known and piece.revision <= self.board.view.revision
 
-    def on_tell(self, host: str, update: ViewTell, now: float) -> None:
+    def on_update(self, host: str, update: ViewTell, now: float) -> None:
         """Handles an update of another balancer."""
         self._apply_context(host, update, now)
         change = self.parts.add(host, update, now)
@@ -221,11 +224,11 @@
         before = self.board.view.revision
         if self.fleet.on_change(change, now, host):
             self._confirm_as_of_query(host, update)
-            self.mender.check(host, change, now)
+            self.reconciler.check(host, change, now)
         elif change.base > before:
             self._query_gap(host, now)
         else:
-            self.mender.request_full_view(host, change, now)
+            self.reconciler.request_full_view(host, change, now)
         self.board.records.counters[Count.VIEWS_TOLD] += 1
         self._push_updates(now)
 
@@ -242,7 +245,7 @@
             self.board.first_placement_at = min(
                 self.board.first_placement_at, since
             )
-        sent_at = self.asked_at.get(update.asked, now)
+        sent_at = self.query_sent_at.get(update.asked, now)
         reroutings.on_reroute_age(self.board, update.rerouted_for_ms, sent_at)
 
     def _is_of_earlier_era(self, change: ViewChange | ViewPiece) -> bool:
@@ -261,7 +264,7 @@
         An update may be queued for a second at a saturated link, so its arrival
         time is no measure.
         """
-        sent_at = self.asked_at.get(update.asked)
+        sent_at = self.query_sent_at.get(update.asked)
         if sent_at is not None:
             self._set_confirmed(sent_at - update.age_s, host)
 
@@ -285,16 +288,16 @@
             hosts_to_query(self.query_rounds, alive, seeds, view_known), now
         )
         self.membership.sweep(now)
-        for number, at in list(self.asked_at.items()):
+        for number, at in list(self.query_sent_at.items()):
             if now - at > QUERY_TIMEOUT_S:
-                del self.asked_at[number]
+                del self.query_sent_at[number]
         self.parts.sweep(now)
         self.pieces.sweep(now)
 
     def _send_queries(self, hosts: Iterable[str], now: float) -> None:
         for host in dict.fromkeys(hosts):
             self.last_query_number += 1
-            self.asked_at[self.last_query_number] = now
+            self.query_sent_at[self.last_query_number] = now
             message = ViewAsk(
                 self.board.view.revision,
                 self.membership.link_mbps,
@@ -308,7 +311,7 @@
         """Returns whether any other balancer is known."""
         return bool(self.membership.other_hosts(self.seeds))
 
-    def ask_widely(self, now: float) -> None:
+    def query_several(self, now: float) -> None:
         """Queries several balancers; any response shows connectivity."""
         self._send_queries(
             self.membership.other_hosts(self.seeds)[:MAX_QUERIED_AT_ONCE], now
@@ -319,13 +322,13 @@
         return self.query_due
 
 
-def make_view_sharer(
+def make_view_synchronizer(
     board: BalancerBoard,
-    fleet: FleetKeeper,
+    fleet: FleetUpdater,
     seeds: tuple[str, ...],
     link_mbps: int,
-    number: int,
-) -> ViewSharer:
+    last_query_number: int,
+) -> ViewSynchronizer:
     """Creates the controller that synchronizes a balancer's view.
 
     Args:
@@ -333,10 +336,15 @@
         fleet: Applies changes.
         seeds: Hosts of some balancers.
         link_mbps: Bandwidth of the host's link, Mbit/s.
-        number: Number that precedes that of the first query.
+        last_query_number: Number that precedes that of the first query.
     """
     membership = Membership(board, link_mbps)
     reconciler = ViewReconciler(board, membership)
-    return ViewSharer(
-        board, fleet, seeds, membership, reconciler, last_query_number=number
+    return ViewSynchronizer(
+        board,
+        fleet,
+        seeds,
+        membership,
+        reconciler,
+        last_query_number=last_query_number,
     )
--- a/notchhoist/platform/feeding.py
+++ b/notchhoist/platform/feeding.py
@@ -131,7 +131,7 @@
             self._note_regained()
         self.unsure = self.unsure and listed is None
         if listed is not None:
-            self.node.sharer.mender.on_listed()
+            self.node.sharer.reconciler.on_listed()
         for event in events:
             self._apply(event, now)
         board = self.node.board
@@ -157,8 +157,8 @@
         was known again: only a list shows that.
         """
         answered_at = self.node.board.store_answered_at
-        told = now - answered_at > self.node.sharer.fresh_s
-        doubtful = self.node.sharer.mender.doubtful
+        told = now - answered_at > self.node.sharer.max_age_s
+        doubtful = self.node.sharer.reconciler.needs_store_read
         return self.unsure or doubtful or (told and not self.named)
 
     def _is_unnamed_era(self, listed: ServersListed | None) -> bool:
@@ -306,7 +306,9 @@
                 self.node.board.refused = ""
                 for problem in event.table.problems:
                     self._note_problem(problem)
-                fleet.tables.on_table(event.table, event.revision, mends=True)
+                fleet.tables.on_table(
+                    event.table, event.revision, replace_same_version=True
+                )
             case items.ServersListed():
                 fleet.on_listing(
                     event.entries,
--- a/notchhoist/platform/store.py
+++ b/notchhoist/platform/store.py
@@ -13,7 +13,7 @@
 from notchhoist.base.errors import PlatformError
 from notchhoist.flows.model.fleet import ServerEntry
 from notchhoist.flows.model.revisions import count_of, era_of, make_revision
-from notchhoist.flows.published.budget import Budget
+from notchhoist.flows.published.budget import PropagationBudget
 from notchhoist.platform.calls import (
     CONFIRM_TIMEOUT_S,
     GATHER_S,
@@ -39,7 +39,7 @@
     read_item,
 )
 
-BUDGET = Budget()
+BUDGET = PropagationBudget()
 
 
 class Want(enum.Enum):
--- a/notchhoist/platform/tests/test_feeding.py
+++ b/notchhoist/platform/tests/test_feeding.py
@@ -11,8 +11,8 @@
 from notchhoist.flows.model.messages import ViewAsk, ViewTell
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.revisions import make_revision
-from notchhoist.flows.published.asking import ASK_S
-from notchhoist.flows.published.budget import Budget
+from notchhoist.flows.published.budget import PropagationBudget
+from notchhoist.flows.published.query_schedule import QUERY_INTERVAL_S
 from notchhoist.platform.feeding import StoreFeeder
 from notchhoist.platform.packets import PacketCodec
 from notchhoist.platform.store import StoreReader
@@ -105,7 +105,7 @@
 def told_by_another(feeder, now):
     teller = fed(item("op/config", CONFIGURATION), item("servers/i-1", ENTRY))
     ask = ViewAsk(0, 5, 1)
-    feeder.node.sharer.asked_at[1] = now
+    feeder.node.sharer.query_sent_at[1] = now
     for effect in teller.node.on_peer("10.0.0.1", ask, 0.01):
         if isinstance(effect, SendPeer) and isinstance(
             effect.message, ViewTell
@@ -126,8 +126,14 @@
     assert feeder.needs_answer(5.1)
     told_by_another(feeder, 5.2)
     assert feeder.node.is_ready
-    feeder.node.sharer.membership.heard |= {"10.0.0.2": 5.2, "10.0.0.4": 5.2}
-    feeder.node.sharer.membership.links |= {"10.0.0.2": 100, "10.0.0.4": 100}
+    feeder.node.sharer.membership.last_heard |= {
+        "10.0.0.2": 5.2,
+        "10.0.0.4": 5.2,
+    }
+    feeder.node.sharer.membership.link_mbps_by_host |= {
+        "10.0.0.2": 100,
+        "10.0.0.4": 100,
+    }
     assert not feeder.needs_answer(5.2)
     feeder.on_not_needed(5.2)
     assert feeder.next_call(5.2) is None
@@ -175,11 +181,11 @@
 @pytest.mark.parametrize("bound_s", [3.0, 5.0])
 def test_a_change_is_in_time_though_the_first_call_has_no_answer(bound_s):
     """A host acted at 0.9 of the bound, and one lost call was too many."""
-    budget = Budget(bound_s)
+    budget = PropagationBudget(bound_s)
     feeder = fed(item("op/config", CONFIGURATION))
     feeder.reader = StoreReader(make_draw("s"), budget.watch_s, budget.answer_s)
     sharer = feeder.node.sharer
-    sharer.fresh_s = budget.fresh_s
+    sharer.max_age_s = budget.max_age_s
     called_at = sharer.stale_at()
     lost = feeder.next_call(called_at)
     feeder.on_failed("no answer in time", called_at + lost.timeout_s, True)
@@ -191,20 +197,20 @@
 def test_told_knowledge_stays_fresh_while_the_readers_watch():
     """Watches as long as they were made the others read by themselves."""
     for bound_s in (3.0, 5.0):
-        budget = Budget(bound_s)
-        assert budget.watch_s + ASK_S + RESEND_S <= budget.fresh_s
+        budget = PropagationBudget(bound_s)
+        assert budget.watch_s + QUERY_INTERVAL_S + RESEND_S <= budget.max_age_s
 
 
 def test_a_doubtful_view_is_read_anew_and_mended():
     """The same version was passed over, whatever it held."""
     feeder = fed(item("op/config", CONFIGURATION))
-    board, mender = feeder.node.board, feeder.node.sharer.mender
+    board, mender = feeder.node.board, feeder.node.sharer.reconciler
     [route] = board.table.routes.values()
     wrong = RouteTable(board.table.version, {}, board.table.idle_s)
-    feeder.node.fleet.tables.on_table(wrong, 50, mends=True)
+    feeder.node.fleet.tables.on_table(wrong, 50, replace_same_version=True)
     assert not board.table.routes
-    mender.doubtful = True
+    mender.needs_store_read = True
     assert feeder.next_call(0.1).purpose == "listing"
     feeder.on_answer(200, page(item("op/config", CONFIGURATION)), 0.2)
     assert list(board.table.routes.values()) == [route]
-    assert not mender.doubtful
+    assert not mender.needs_store_read
