--- a/notchhoist/daemon/flow_daemon.py
+++ b/notchhoist/daemon/flow_daemon.py
@@ -276,7 +276,7 @@
 
         def end(listens: bool, ended: bool | None = None) -> None:
             now = self.loop.clock()
-            self.perform(self.agent.on_checked(listens, now, ended))
+            self.perform(self.agent.on_backend_checked(listens, now, ended))
 
         def on_packet_checked(reach: Reach) -> None:
             end(listens=False, ended=reach is Reach.REFUSED)
@@ -385,7 +385,7 @@
 
     def _leave_agent(self) -> None:
         """Ends an agent, unless it is to see its server's end."""
-        if self.agent.awaits_end():
+        if self.agent.awaits_backend_exit():
             self.loop.call_later(AGENT_LEAVE_S, self._leave_agent)
         else:
             self.loop.stop()
--- a/notchhoist/daemon/flow_metrics.py
+++ b/notchhoist/daemon/flow_metrics.py
@@ -104,7 +104,7 @@
         "slots": board.slots,
         "slots_taken": len(board.active),
         "service_time_seconds": board.pace_s,
-        "failing_share": node.gate.times.failing,
+        "failing_share": node.request_gate.answer_times.failing,
         "backend_gone": board.backend_gone,
         "evacuated": board.evacuated_since is not None,
         "cold_seconds": max(0.0, board.cold_until - now),
--- a/notchhoist/daemon/flow_runner.py
+++ b/notchhoist/daemon/flow_runner.py
@@ -79,8 +79,8 @@
 def _make_agent(
     settings: HostSettings, codec: PacketCodec, now: float
 ) -> AgentNode:
-    from notchhoist.flows.agent.bearing import Limits
     from notchhoist.flows.agent.node import make_agent
+    from notchhoist.flows.agent.opening_gate import OpeningLimits
 
     return make_agent(
         settings.service,
@@ -88,7 +88,7 @@
         now,
         settings.uses,
         settings.first_start,
-        Limits(
+        OpeningLimits(
             settings.evacuate_s,
             settings.cold_overage,
             settings.cold_slack,
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -270,7 +270,7 @@
         "running": load.running,
         "service_ms": round(board.pace_s * 1000, 1),
         "told_ms": load.pace_ms,
-        "failing": round(node.gate.times.failing, 3),
+        "failing": round(node.request_gate.answer_times.failing, 3),
         "gone": board.backend_gone,
     } | _told_row(node, now)
 
@@ -286,7 +286,9 @@
         "evacuated_s": None if since is None else _age(now, since),
         "cold_s": cold_s,
         "bound_per_s": state.bound_per_s if state and cold_s else None,
-        "bound_used": len(node.bearing.handed.times) if cold_s else 0,
+        "bound_used": len(node.opening_gate.recent_openings.times)
+        if cold_s
+        else 0,
     }
 
 
--- a/notchhoist/daemon/tests/test_flow_state.py
+++ b/notchhoist/daemon/tests/test_flow_state.py
@@ -4,8 +4,8 @@
 
 from notchhoist.daemon.flow_metrics import metrics_text
 from notchhoist.daemon.flow_state import answer_state
-from notchhoist.flows.agent.bearing import Limits
 from notchhoist.flows.agent.node import make_agent
+from notchhoist.flows.agent.opening_gate import OpeningLimits
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model.fleet import ColdBound, RouteTable
 from notchhoist.flows.model.messages import LoadAsk, ServerState
@@ -51,7 +51,9 @@
 
 
 def test_an_agent_shows_what_it_was_told_and_what_is_left_of_the_bound():
-    node = make_agent(crafting.SERVICE, CODEC, 0.0, limits=Limits(5.0, 1.5, 5))
+    node = make_agent(
+        crafting.SERVICE, CODEC, 0.0, limits=OpeningLimits(5.0, 1.5, 5)
+    )
     state = ServerState(9, 7, cold_for_s=2.0, bound_per_s=6.0)
     node.on_peer("10.0.1.1", LoadAsk(2, state), 100.0)
     send(node, request(flags=SYN, port=1), NoteKind.PLACE, 100.5)
--- a/notchhoist/flows/agent/backend_watch.py
+++ b/notchhoist/flows/agent/backend_watch.py
@@ -97,7 +97,7 @@
         if listens:
             if board.backend_gone:
                 board.records.decide("backend server", b"", "back")
-                self.request_gate.times = AnswerTimes()
+                self.request_gate.answer_times = AnswerTimes()
             board.backend_gone = False
             board.refused_since = None
             return False
--- a/notchhoist/flows/agent/telling.py
+++ b/notchhoist/flows/agent/flow_lookup.py
@@ -11,7 +11,7 @@
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
-UNSURE_S = 60.0
+UNSEEN_FLOW_MAX_AGE_S = 60.0
 """How long after its start an agent may meet flows that opened before it,
 seconds; the platform guarantees nothing for flows that are older."""
 
@@ -46,7 +46,7 @@
     def knows_all_flows(self, now: float) -> bool:
         """Tells whether every flow of the backend server is known."""
         board = self.board
-        old = now - board.started_at >= UNSURE_S
+        old = now - board.started_at >= UNSEEN_FLOW_MAX_AGE_S
         return board.knows_all_flows or board.backend_gone or old
 
     def presence_of(self, segment: Segment, tag: int, now: float) -> NoteKind:
--- a/notchhoist/flows/agent/flow_offers.py
+++ b/notchhoist/flows/agent/flow_offers.py
@@ -3,9 +3,9 @@
 from msgspec import Struct, field
 
 from notchhoist.flows.agent.backend_watch import BackendWatch
-from notchhoist.flows.agent.bearing import DEFER_MAX_S, OpeningGate
+from notchhoist.flows.agent.free_slots import FreeSlots
+from notchhoist.flows.agent.opening_gate import DEFER_MAX_S, OpeningGate
 from notchhoist.flows.agent.replies import Replies
-from notchhoist.flows.agent.vacancies import FreeSlots
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBackend
@@ -39,7 +39,7 @@
         board: Shared state of the agent.
         codec: Codec of the packets.
         opening_gate: Decides whether the backend server may get a new flow.
-        vacancies: Tells whether a slot is free for a new flow.
+        free_slots: Tells whether a slot is free for a new flow.
         replies: Sends replies to balancers.
         watch: Detects that the backend server has exited.
         offered: Flows that the backend server has not accepted yet.
@@ -49,7 +49,7 @@
     board: AgentBoard
     codec: SegmentCodec
     opening_gate: OpeningGate
-    vacancies: FreeSlots
+    free_slots: FreeSlots
     replies: Replies
     watch: BackendWatch
     offered: dict[bytes, HeldFlow] = field(default_factory=dict)
@@ -84,7 +84,7 @@
         if kind is not NoteKind.PLACE_IF_FREE:
             return False
         closed = self.opening_gate.closed_pause_s(now) > 0
-        return not closed and not self.vacancies.has_free(now)
+        return not closed and not self.free_slots.has_free_slot(now)
 
     def _offer_or_refuse(
         self, host: str, segment: Segment, has_cold_bound: bool, now: float
@@ -103,7 +103,7 @@
             self.replies.counter.note_offer()
             self.opening_gate.note_opening(now)
             if not notes.wish_of(segment.note).upload:
-                self.vacancies.reserve(segment.flow, now)
+                self.free_slots.reserve(segment.flow, now)
         held.balancer = host
         if held.wish is None:
             held.wish = notes.wish_of(segment.note)
@@ -149,7 +149,7 @@
             segment.flow,
             self.opening_gate.refusal_reason(),
             pause_s=round(pause_s, 3),
-            handed=len(self.opening_gate.handed.times),
+            handed=len(self.opening_gate.recent_openings.times),
             revision=state.revision if state else 0,
         )
 
--- a/notchhoist/flows/agent/vacancies.py
+++ b/notchhoist/flows/agent/free_slots.py
@@ -36,7 +36,7 @@
         """Reserves a slot for the first request of a flow."""
         self.board.reserved_until[flow] = now + EXPECTED_S
 
-    def has_free(self, now: float) -> bool:
+    def has_free_slot(self, now: float) -> bool:
         """Tells whether a slot is neither taken, reserved nor waited for.
 
         While the number of slots is unknown requests are not queued, so a slot
@@ -44,7 +44,7 @@
         """
         board = self.board
         if (
-            self.request_gate.times.is_failing
+            self.request_gate.answer_times.is_failing
             and not self._may_offer_to_failing(now)
         ):
             return False
--- a/notchhoist/flows/agent/node.py
+++ b/notchhoist/flows/agent/node.py
@@ -3,16 +3,16 @@
 from msgspec import Struct
 
 from notchhoist.flows.agent.backend_watch import BackendWatch
-from notchhoist.flows.agent.bearing import Limits, OpeningGate
+from notchhoist.flows.agent.flow_lookup import FlowLookup
 from notchhoist.flows.agent.flow_offers import FlowOffers
-from notchhoist.flows.agent.load_counting import LoadCounter
+from notchhoist.flows.agent.free_slots import FreeSlots
+from notchhoist.flows.agent.idle_survey import IdleFlowSurvey
+from notchhoist.flows.agent.load_counter import LoadCounter
+from notchhoist.flows.agent.opening_gate import OpeningGate, OpeningLimits
 from notchhoist.flows.agent.packet_forwarder import PacketForwarder
 from notchhoist.flows.agent.refuser import Refuser
 from notchhoist.flows.agent.replies import Replies
 from notchhoist.flows.agent.request_gate import RequestGate
-from notchhoist.flows.agent.resting import IdleFlowSurvey
-from notchhoist.flows.agent.telling import FlowLookup
-from notchhoist.flows.agent.vacancies import FreeSlots
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.decisions.queueing import SlotQueue
 from notchhoist.flows.model import notes
@@ -47,7 +47,7 @@
 
 SWEEP_INTERVAL_S = 1.0
 
-DEFAULT_LIMITS = Limits()
+DEFAULT_LIMITS = OpeningLimits()
 
 
 class AgentNode(Struct, eq=False):
@@ -56,11 +56,11 @@
     Attributes:
         board: Shared state of the agent.
         codec: Codec of the packets.
-        gate: Admits requests to the slots of the backend server.
+        request_gate: Admits requests to the slots of the backend server.
         watch: Detects that the backend server has exited.
         sweep_due: When old flows are next forgotten, seconds.
         counter: Counts the load.
-        bearing: Decides whether the backend server may get a new flow.
+        opening_gate: Decides whether the backend server may get a new flow.
         replies: Sends replies to balancers.
         offers: Offers new flows to the backend server.
         lookup: Answers balancers that search for flows.
@@ -70,10 +70,10 @@
 
     board: AgentBoard
     codec: SegmentCodec
-    gate: RequestGate
+    request_gate: RequestGate
     watch: BackendWatch
     counter: LoadCounter
-    bearing: OpeningGate
+    opening_gate: OpeningGate
     replies: Replies
     offers: FlowOffers
     lookup: FlowLookup
@@ -154,13 +154,13 @@
             self._on_confirmed(held, now)
         if segment.size or segment.closes:
             # The packet that ends an answer may overtake its data.
-            self.gate.on_answer(segment, held, now)
+            self.request_gate.on_answer(segment, held, now)
         if segment.resets:
-            self.gate.on_reset(held)
+            self.request_gate.on_reset(held)
             self.idle_survey.on_reset(held, segment.flow, now)
         if segment.closes or segment.resets:
             held.phase = Phase.CLOSED
-            self.gate.forget(segment.flow, now)
+            self.request_gate.forget(segment.flow, now)
         held.last_at = now
         board.outbox.append(
             SendCaller(
@@ -185,9 +185,9 @@
         held = self.board.flows.pop(segment.flow, None)
         if held is not None and held.is_young(now):
             # The server held this flow; it has restarted since.
-            self.bearing.note_backend_restart(now)
+            self.opening_gate.note_backend_restart(now)
         self.offers.offered.pop(segment.flow, None)
-        self.gate.forget(segment.flow, now)
+        self.request_gate.forget(segment.flow, now)
         if held is None or self.idle_survey.reset_returned(held, segment, now):
             return
         if not held.balancer:
@@ -203,7 +203,7 @@
             now,
         )
 
-    def on_checked(
+    def on_backend_checked(
         self, listens: bool, now: float, ended: bool | None = None
     ) -> list[Effect]:
         """Handles the outcome of ``CheckBackend``; see ``BackendWatch``."""
@@ -214,7 +214,7 @@
             for flow, held in unconfirmed:
                 self.lookup.note_absent(held.balancer, flow, now)
         if had_exited and not self.board.backend_gone:
-            self.bearing.note_backend_restart(now)
+            self.opening_gate.note_backend_restart(now)
         return self._take_effects()
 
     def _unconfirmed_flows(self) -> list[tuple[bytes, HeldFlow]]:
@@ -242,17 +242,17 @@
         self.board.slots = message.slots
         if message.state is None:
             return
-        if self.bearing.update_state(message.state, now):
-            self.bearing.note_backend_restart(now)
+        if self.opening_gate.update_state(message.state, now):
+            self.opening_gate.note_backend_restart(now)
             self.watch.on_restarted(now)
             self.idle_survey.survey("server began anew")
 
     def tick(self, now: float) -> list[Effect]:
         """Runs all timers that are due."""
         self.offers.tick(now)
-        if self.bearing.is_past_evacuation_cutoff(now):
-            self.gate.refuse_unopened("zone evacuated", now)
-        self.gate.tick(now)
+        if self.opening_gate.is_past_evacuation_cutoff(now):
+            self.request_gate.refuse_unopened("zone evacuated", now)
+        self.request_gate.tick(now)
         self.idle_survey.tick(now)
         self.watch.tick(now)
         if now >= self.lookup.outcomes_due:
@@ -272,8 +272,8 @@
         ]
         for flow in forgotten:
             del flows[flow]
-            self.gate.forget(flow, now)
-        self.gate.sweep(now)
+            self.request_gate.forget(flow, now)
+        self.request_gate.sweep(now)
 
     def stop(self, now: float) -> list[Effect]:
         """Begins a planned stop and notifies the balancers."""
@@ -283,7 +283,7 @@
                 self.replies.send_load(host, now)
         return self._take_effects()
 
-    def awaits_end(self) -> bool:
+    def awaits_backend_exit(self) -> bool:
         """Tells whether a planned stop must wait until the server exits.
 
         A draining server exits soon, and only its agent can observe that.
@@ -298,7 +298,7 @@
             self.idle_survey.due(),
             self.lookup.outcomes_due,
             self.sweep_due,
-            self.gate.due(),
+            self.request_gate.due(),
         )
 
     def _take_effects(self) -> list[Effect]:
@@ -312,8 +312,8 @@
     codec: SegmentCodec,
     now: float,
     uses: Mechanisms = ALL,
-    sees_all: bool = False,
-    limits: Limits = DEFAULT_LIMITS,
+    knows_all_flows: bool = False,
+    limits: OpeningLimits = DEFAULT_LIMITS,
 ) -> AgentNode:
     """Returns the node of an agent that starts now.
 
@@ -322,12 +322,12 @@
         codec: Codec of the packets.
         now: Runtime clock, seconds.
         uses: Which mechanisms are in use.
-        sees_all: The whole system starts for the first time, so no flow is
-            older than the agent.
+        knows_all_flows: The whole system starts for the first time, so no flow
+            is older than the agent.
         limits: Limits for new flows, from the settings.
     """
     tag = notes.service_tag(service)
-    board = AgentBoard(service, tag, now, sees_all, uses=uses)
+    board = AgentBoard(service, tag, now, knows_all_flows, uses=uses)
     refuser = Refuser(board, codec)
     request_gate = RequestGate(board, codec, refuser, queue=SlotQueue(uses))
     watch = BackendWatch(board, codec, request_gate)
@@ -340,10 +340,10 @@
     return AgentNode(
         board=board,
         codec=codec,
-        gate=request_gate,
+        request_gate=request_gate,
         watch=watch,
         counter=counter,
-        bearing=opening_gate,
+        opening_gate=opening_gate,
         replies=replies,
         offers=offers,
         lookup=lookup,
--- a/notchhoist/flows/agent/bearing.py
+++ b/notchhoist/flows/agent/opening_gate.py
@@ -35,7 +35,7 @@
 and a third of the time after which the balancer offers the flow elsewhere."""
 
 
-class Limits(Struct, frozen=True):
+class OpeningLimits(Struct, frozen=True):
     """Limits for new flows, from the settings.
 
     Attributes:
@@ -75,12 +75,15 @@
     Attributes:
         board: Shared state of the agent.
         limits: Limits from the settings.
-        handed: New flows that the server has got within the counting window.
+        recent_openings: New flows that the server has got within the counting
+            window.
     """
 
     board: AgentBoard
-    limits: Limits = Limits()
-    handed: SlidingWindowCounter = field(default_factory=SlidingWindowCounter)
+    limits: OpeningLimits = OpeningLimits()
+    recent_openings: SlidingWindowCounter = field(
+        default_factory=SlidingWindowCounter
+    )
 
     def update_state(self, state: ServerState, now: float) -> bool:
         """Applies a reported state; tells whether the server has restarted.
@@ -170,15 +173,17 @@
         if closed_s:
             return closed_s
         limit = self._openings_limit(now, has_cold_bound)
-        return 0.0 if limit is None else self.handed.pause_s(limit, now)
+        return (
+            0.0 if limit is None else self.recent_openings.pause_s(limit, now)
+        )
 
     def closed_pause_s(self, now: float) -> float:
         """Returns the pause if the server gets no new flow, else 0, seconds."""
         evacuated = self.board.evacuated_since is not None
-        closed = evacuated or self.has_left(now)
+        closed = evacuated or self.is_past_drain_cutoff(now)
         return CLOSED_PAUSE_S if closed else 0.0
 
-    def has_left(self, now: float) -> bool:
+    def is_past_drain_cutoff(self, now: float) -> bool:
         """Tells whether the server has drained too long to get a new flow.
 
         Balancers stop placing flows there once they have read of the drain;
@@ -217,7 +222,7 @@
 
     def note_opening(self, now: float) -> None:
         """Counts a new flow that is offered to the server."""
-        self.handed.record(now)
+        self.recent_openings.record(now)
 
     def is_past_evacuation_cutoff(self, now: float) -> bool:
         """Tells whether the evacuation also refuses unopened flows."""
--- a/notchhoist/flows/agent/packet_forwarder.py
+++ b/notchhoist/flows/agent/packet_forwarder.py
@@ -3,11 +3,11 @@
 from msgspec import Struct
 
 from notchhoist.flows.agent.backend_watch import BackendWatch
-from notchhoist.flows.agent.bearing import OpeningGate
+from notchhoist.flows.agent.flow_lookup import FlowLookup
+from notchhoist.flows.agent.opening_gate import OpeningGate
 from notchhoist.flows.agent.refuser import Refuser
 from notchhoist.flows.agent.replies import Replies
 from notchhoist.flows.agent.request_gate import RequestGate
-from notchhoist.flows.agent.telling import FlowLookup
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBackend
--- a/notchhoist/flows/agent/replies.py
+++ b/notchhoist/flows/agent/replies.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.agent.load_counting import LoadCounter
+from notchhoist.flows.agent.load_counter import LoadCounter
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBalancer, SendPeer
--- a/notchhoist/flows/agent/request_gate.py
+++ b/notchhoist/flows/agent/request_gate.py
@@ -45,7 +45,7 @@
         board: Shared state of the agent.
         codec: Codec of the packets.
         refuser: Resets flows whose requests get no slot.
-        times: Estimates from answer times whether the server is failing.
+        answer_times: Estimates from answer times whether the server is failing.
         queue: Picks the request that gets the next slot.
         shed_due: When unservable requests are next looked for, seconds.
     """
@@ -53,7 +53,7 @@
     board: AgentBoard
     codec: SegmentCodec
     refuser: Refuser
-    times: AnswerTimes = field(default_factory=AnswerTimes)
+    answer_times: AnswerTimes = field(default_factory=AnswerTimes)
     queue: SlotQueue = field(default_factory=SlotQueue)
     shed_due: float = 0.0
 
@@ -151,7 +151,7 @@
             return
         board = self.board
         took_s = now - held.request_at
-        good = self.times.note_answer(segment.service_key, took_s)
+        good = self.answer_times.note_answer(segment.service_key, took_s)
         if good:
             self._update_service_time(elapsed)
         outcome = "answered" if good else "too quick"
@@ -174,7 +174,7 @@
     def _note_failed(self, held: HeldFlow, by_reset: bool = False) -> None:
         """Records the failure of a request that is still unanswered."""
         if held.running_since is not None:
-            self.times.note_failure(by_reset)
+            self.answer_times.note_failure(by_reset)
             self.board.records.counters[Count.REQUESTS_BROKEN] += 1
             self._log_failing()
 
@@ -198,13 +198,15 @@
 
         It is longer for a failing server, so that it attracts fewer flows.
         """
-        slowdown = self.times.slowdown() if self.board.uses.failing else 1.0
+        slowdown = (
+            self.answer_times.slowdown() if self.board.uses.failing else 1.0
+        )
         return self.board.pace_s * slowdown
 
     def _log_failing(self) -> None:
-        change = self.times.pop_state_change()
+        change = self.answer_times.pop_state_change()
         if change:
-            share = round(self.times.failing, 3)
+            share = round(self.answer_times.failing, 3)
             self.board.records.decide(
                 "backend server",
                 b"",
@@ -291,7 +293,7 @@
         board.active.clear()
         board.reserved_until.clear()
         board.pace_s = 0.0
-        self.times = AnswerTimes()
+        self.answer_times = AnswerTimes()
         for request in list(board.waiting.values()):
             if request.unopened:
                 self.refuser.refuse(request, now, "backend server began anew")
--- a/notchhoist/flows/agent/tests/test_agent.py
+++ b/notchhoist/flows/agent/tests/test_agent.py
@@ -157,7 +157,7 @@
     node = agent()
     accept(node, 1)
     ask(node, 1)
-    effects = node.on_checked(False, START + 1)
+    effects = node.on_backend_checked(False, START + 1)
     assert [type(item) for item in effects] == [SendCaller]
     refused = send(node, request(flags=SYN, port=2), NoteKind.PLACE, START + 1)
     assert to_balancer(refused) == [NoteKind.REFUSED]
@@ -227,7 +227,7 @@
     Each flow that no longer existed was then searched for by sample packets to
     all agents.
     """
-    node = make_agent(crafting.SERVICE, CODEC, START, sees_all=True)
+    node = make_agent(crafting.SERVICE, CODEC, START, knows_all_flows=True)
     effects = send(node, request(data=b"x"), NoteKind.ASK)
     assert to_balancer(effects) == [NoteKind.ABSENT]
 
@@ -242,7 +242,7 @@
     effects = node.on_peer(BALANCER, FlowsAsk(1, TAG, (), (sample,)), START)
     assert to_backend(effects)
     assert any(isinstance(item, CheckBackend) for item in node.tick(START))
-    node.on_checked(False, START + 0.001)
+    node.on_backend_checked(False, START + 0.001)
     reports = [
         item.message
         for item in node.tick(START + 0.02)
@@ -262,7 +262,7 @@
     node.on_peer(BALANCER, query, START)
     accept(node, 1)
     ask(node, 1)
-    effects = node.on_checked(False, START + 1.0)
+    effects = node.on_backend_checked(False, START + 1.0)
     resets = [item for item in effects if isinstance(item, SendCaller)]
     assert len(resets) == (0 if draining else 1)
     assert bool(node.board.flows) is draining
--- a/notchhoist/flows/agent/tests/test_flow_offers.py
+++ b/notchhoist/flows/agent/tests/test_flow_offers.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from notchhoist.flows.agent.bearing import DEFER_MAX_S, Limits
 from notchhoist.flows.agent.node import make_agent
+from notchhoist.flows.agent.opening_gate import DEFER_MAX_S, OpeningLimits
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendBalancer, SendPeer
 from notchhoist.flows.model.messages import LoadAsk, LoadTell, ServerState
@@ -20,7 +20,7 @@
 )
 from notchhoist.flows.tests.crafting import CODEC, SYN, bounced, request
 
-LIMITS = Limits(evacuate_s=5.0, cold_overage=1.5, cold_slack=5.0)
+LIMITS = OpeningLimits(evacuate_s=5.0, cold_overage=1.5, cold_slack=5.0)
 
 
 def agent(started=START - 100.0):
@@ -157,8 +157,8 @@
     elif noticed == "bounced":
         node.on_backend(bounced(request(data=b"x", seq=9, port=1)), START)
     else:
-        node.on_checked(False, START)
-        node.on_checked(True, START)
+        node.on_backend_checked(False, START)
+        node.on_backend_checked(True, START)
     taken = [port for port in (5, 6) if to_backend(offer_flow(node, port))]
     assert taken == [5]
 
--- a/notchhoist/flows/agent/tests/test_vacancies.py
+++ b/notchhoist/flows/agent/tests/test_free_slots.py
@@ -87,8 +87,8 @@
     """
     node = agent(slots=2)
     for _ in range(10):
-        node.gate.times.note_failure()
-    node.gate.times.pop_state_change()
+        node.request_gate.answer_times.note_failure()
+    node.request_gate.answer_times.pop_state_change()
     tried = [
         number
         for number in range(30)
--- a/notchhoist/flows/agent/tests/test_resting.py
+++ b/notchhoist/flows/agent/tests/test_idle_survey.py
@@ -6,7 +6,7 @@
 import pytest
 
 from notchhoist.flows.agent.backend_watch import UNANNOUNCED_DRAIN_S
-from notchhoist.flows.agent.resting import (
+from notchhoist.flows.agent.idle_survey import (
     SILENCE_CHECK_S,
     SURVEY_INTERVAL_MIN_S,
 )
@@ -137,7 +137,9 @@
     effects = node.tick(START + SILENCE_CHECK_S)
     assert len(checks(effects)) == 1
     assert ports_of(to_backend(effects)) == [1]
-    assert reset_ports(node.on_checked(False, START + SILENCE_CHECK_S)) == [1]
+    assert reset_ports(
+        node.on_backend_checked(False, START + SILENCE_CHECK_S)
+    ) == [1]
 
 
 def test_server_that_is_heard_or_has_no_flows_is_not_checked():
@@ -199,7 +201,7 @@
     """
     node = agent_with_idle_flows([1])
     report_state(node, 7, draining=True)
-    effects = node.on_checked(False, LATER, ended)
+    effects = node.on_backend_checked(False, LATER, ended)
     assert reset_ports(effects) == ([1] if ended else [])
 
 
@@ -209,9 +211,13 @@
     The store had refused the requests of the balancers.
     """
     node = agent_with_idle_flows([1])
-    assert not reset_ports(node.on_checked(False, LATER, ended=False))
-    assert not reset_ports(node.on_checked(False, LATER + 3.9, ended=False))
-    effects = node.on_checked(False, LATER + UNANNOUNCED_DRAIN_S, ended=False)
+    assert not reset_ports(node.on_backend_checked(False, LATER, ended=False))
+    assert not reset_ports(
+        node.on_backend_checked(False, LATER + 3.9, ended=False)
+    )
+    effects = node.on_backend_checked(
+        False, LATER + UNANNOUNCED_DRAIN_S, ended=False
+    )
     assert reset_ports(effects) == [1]
 
 
@@ -221,13 +227,15 @@
     The server still took packets.
     """
     node = agent_with_idle_flows([1])
-    assert not reset_ports(node.on_checked(False, LATER, ended=False))
+    assert not reset_ports(node.on_backend_checked(False, LATER, ended=False))
     later = LATER + 2 * UNANNOUNCED_DRAIN_S
     accept(node, 2, later)
     ask(node, 2, later)
     reply(node, 2, later)
-    assert not reset_ports(node.on_checked(False, later + 0.1, ended=False))
-    effects = node.on_checked(
+    assert not reset_ports(
+        node.on_backend_checked(False, later + 0.1, ended=False)
+    )
+    effects = node.on_backend_checked(
         False, later + 0.1 + UNANNOUNCED_DRAIN_S, ended=False
     )
     assert sorted(reset_ports(effects)) == [1, 2]
@@ -243,7 +251,7 @@
     sample = CODEC.decode_request(check.sample)
     assert not sample.opens
     assert sample.size == 9
-    assert not reset_ports(node.on_checked(False, LATER, ended=False))
+    assert not reset_ports(node.on_backend_checked(False, LATER, ended=False))
 
 
 def test_queued_packet_is_no_sample():
@@ -259,11 +267,11 @@
 
 def test_stopping_agent_waits_until_a_draining_server_exits():
     node = agent_with_idle_flows([1])
-    assert not node.awaits_end()
+    assert not node.awaits_backend_exit()
     report_state(node, 7, draining=True)
-    assert not node.awaits_end()
+    assert not node.awaits_backend_exit()
     node.stop(LATER)
-    assert node.awaits_end()
+    assert node.awaits_backend_exit()
     assert checks(node.tick(LATER + 0.01))
-    node.on_checked(False, LATER + 0.02, ended=True)
-    assert not node.awaits_end()
+    node.on_backend_checked(False, LATER + 0.02, ended=True)
+    assert not node.awaits_backend_exit()
--- a/notchhoist/flows/agent/tests/test_leaving.py
+++ b/notchhoist/flows/agent/tests/test_leaving.py
@@ -1,7 +1,7 @@
 """Tests of draining servers: agents stop balancers that are not informed."""
 
-from notchhoist.flows.agent.bearing import CUTOFF_SHARE, Limits
 from notchhoist.flows.agent.node import make_agent
+from notchhoist.flows.agent.opening_gate import CUTOFF_SHARE, OpeningLimits
 from notchhoist.flows.agent.tests.test_flow_offers import (
     offer_flow,
     pause_of,
@@ -24,7 +24,7 @@
 
 
 def agent():
-    limits = Limits(drain_s=DRAIN_S)
+    limits = OpeningLimits(drain_s=DRAIN_S)
     return make_agent(crafting.SERVICE, CODEC, START - 100.0, limits=limits)
 
 
--- a/notchhoist/flows/decisions/tests/test_failure_detection.py
+++ b/notchhoist/flows/decisions/tests/test_failure_detection.py
@@ -104,7 +104,7 @@
         send(node, data, NoteKind.HELD, now)
         done = answer(data=b"y", seq=SERVER_SEQ + 1, ack=2, **fields)
         node.on_backend(done, now + took_s)
-    assert node.gate.times.failing < 0.05
+    assert node.request_gate.answer_times.failing < 0.05
 
 
 def test_one_reset_request_limits_the_flows_of_a_server():
@@ -113,8 +113,8 @@
     accept(node, 1)
     ask(node, 1)
     node.on_backend(answer(flags=RST, seq=SERVER_SEQ + 1, port=1), START)
-    assert node.gate.times.is_failing
-    free = node.offers.vacancies.has_free
+    assert node.request_gate.answer_times.is_failing
+    free = node.offers.free_slots.has_free_slot
     offered = [free(START + tick / 10) for tick in range(30)]
     assert sum(offered) == 3
 
@@ -126,4 +126,4 @@
     node.on_backend(answer(flags=FIN, seq=SERVER_SEQ + 1, port=1), START)
     ask(node, 1)
     node.on_backend(answer(flags=RST, seq=SERVER_SEQ + 2, port=1), START)
-    assert not node.gate.times.is_failing
+    assert not node.request_gate.answer_times.is_failing
--- a/notchhoist/flows/tests/agents.py
+++ b/notchhoist/flows/tests/agents.py
@@ -1,7 +1,7 @@
 """An agent for tests, and helpers that read its effects."""
 
+from notchhoist.flows.agent.flow_lookup import UNSEEN_FLOW_MAX_AGE_S
 from notchhoist.flows.agent.node import make_agent
-from notchhoist.flows.agent.telling import UNSURE_S
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import (
     SendBackend,
@@ -28,7 +28,7 @@
 
 def agent(slots=0, known=True):
     """Makes an agent; ``known`` lets it run long enough to know every flow."""
-    started = START - (UNSURE_S + 1 if known else 0.0)
+    started = START - (UNSEEN_FLOW_MAX_AGE_S + 1 if known else 0.0)
     node = make_agent(crafting.SERVICE, CODEC, started)
     if slots:
         node.on_peer(BALANCER, LoadAsk(slots), START)
--- a/notchhoist/flows/tests/network.py
+++ b/notchhoist/flows/tests/network.py
@@ -242,5 +242,5 @@
         if agent is not None:
             listens = server is not None and server.listens
             ended = server is None if sampled else None
-            effects = agent.on_checked(listens, self.now, ended)
+            effects = agent.on_backend_checked(listens, self.now, ended)
             self.perform_agent(host, effects)
--- a/notchhoist/testing/opaque/tests/test_leaving.py
+++ b/notchhoist/testing/opaque/tests/test_leaving.py
@@ -1,6 +1,6 @@
 """Servers that leave while balancers do not heed it: agents stop them."""
 
-from notchhoist.flows.agent.bearing import OpeningGate
+from notchhoist.flows.agent.opening_gate import OpeningGate
 from notchhoist.flows.decisions import server_selection
 from notchhoist.testing.opaque import troubles
 from notchhoist.testing.opaque.experiment import make_world, play
@@ -14,7 +14,9 @@
 def late_flows(monkeypatch, agents):
     monkeypatch.setattr(server_selection, "usable_servers", heedless)
     if not agents:
-        monkeypatch.setattr(OpeningGate, "has_left", lambda *_: False)
+        monkeypatch.setattr(
+            OpeningGate, "is_past_drain_cutoff", lambda *_: False
+        )
     world = play("release", seed=7, seconds=12.0)
     return [text for text in world.judge.broken if "DRAIN" in text]
 
--- a/notchhoist/testing/opaque/world.py
+++ b/notchhoist/testing/opaque/world.py
@@ -9,8 +9,8 @@
 
 from notchhoist.base.draws import make_draw
 from notchhoist.daemon.ports import Port
-from notchhoist.flows.agent.bearing import Limits
 from notchhoist.flows.agent.node import AgentNode, make_agent
+from notchhoist.flows.agent.opening_gate import OpeningLimits
 from notchhoist.flows.balancer.node import BalancerNode, make_balancer
 from notchhoist.flows.codec.message_codec import encode_message
 from notchhoist.flows.model import effects
@@ -181,7 +181,7 @@
         host.link = make_link(mbps, self.paced)
         if host.service:
             slack = COLD_SLACK if self.cold_per_s else None
-            limits = Limits(EVACUATE_S, COLD_OVERAGE, slack, DRAIN_S)
+            limits = OpeningLimits(EVACUATE_S, COLD_OVERAGE, slack, DRAIN_S)
             host.node = make_agent(
                 host.service, self.codec, self.now, self.uses, limits=limits
             )
@@ -311,7 +311,7 @@
     def _check(self, host: Host) -> None:
         if isinstance(host.node, AgentNode):
             listens = host.server is not None and host.server.alive
-            self.perform(host, host.node.on_checked(listens, self.now))
+            self.perform(host, host.node.on_backend_checked(listens, self.now))
 
     def _check_host(self, source: Host, target: str) -> None:
         """Lets a balancer try to connect to another host."""
