--- a/notchhoist/flows/balancer/__init__.py
+++ b/notchhoist/flows/balancer/__init__.py
@@ -12,10 +12,10 @@
   network distance of servers; ``accepting``: outcomes of offers; ``opening``:
   places new flows.
 * ``forwarding``: forwards packets of placed flows.
-* ``questions``, ``trying``, ``evidence``, ``scope``, ``search_records``,
-  ``finding``: search for flows that this balancer does not know; ``rejoining``:
-  handles flows once they are found.
-* ``resting``: idle flows whose server may be down.
+* ``flow_queries``, ``sample_packets``, ``absence``, ``scope``,
+  ``search_records``, ``finding``: search for flows that this balancer does not
+  know; ``resuming``: handles flows once they are found.
+* ``idle_flows``: idle flows whose server may be down.
 * ``node``: combines the controllers.
 
 ``decisions.early`` buffers a caller's packet until routes and servers are
--- a/notchhoist/flows/balancer/evidence.py
+++ b/notchhoist/flows/balancer/absence.py
@@ -18,7 +18,7 @@
 from notchhoist.flows.model.records import Count
 
 
-class Evidence(Struct, eq=False):
+class AbsenceChecker(Struct, eq=False):
     """Decides whether an unlocated flow may still be at an unknown server.
 
     Attributes:
@@ -59,13 +59,13 @@
             board = self.board
             known = self.complete_by_service[service] = is_complete(
                 board.by_service.get(service, []),
-                self.is_settled(now),
+                self.is_list_stable(now),
                 board.store_failed_at,
                 now,
             )
         return known
 
-    def is_settled(self, now: float) -> bool:
+    def is_list_stable(self, now: float) -> bool:
         """Tells whether the server list is stable since its last full read.
 
         A list that was stable once remains so when the store fails later. This
--- a/notchhoist/flows/balancer/finding.py
+++ b/notchhoist/flows/balancer/finding.py
@@ -11,14 +11,14 @@
 from msgspec import Struct
 
 from notchhoist.flows.balancer import search_records
+from notchhoist.flows.balancer.absence import AbsenceChecker
 from notchhoist.flows.balancer.confirming import ViewConfirmer
-from notchhoist.flows.balancer.evidence import Evidence
+from notchhoist.flows.balancer.flow_queries import FlowQueries
 from notchhoist.flows.balancer.health import HealthKeeper
-from notchhoist.flows.balancer.questions import Questions
-from notchhoist.flows.balancer.rejoining import FlowRejoiner
 from notchhoist.flows.balancer.resetting import FlowResetter
+from notchhoist.flows.balancer.resuming import FlowResumer
+from notchhoist.flows.balancer.sample_packets import SampleSender
 from notchhoist.flows.balancer.scope import SearchScope
-from notchhoist.flows.balancer.trying import FlowTrier
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Search
 from notchhoist.flows.decisions import server_selection
 from notchhoist.flows.model.messages import FlowsTell
@@ -66,10 +66,10 @@
         health: Monitors the agents.
         resetter: Resets flows.
         confirmer: Confirms the server list with the platform.
-        questions: Sends the queries to agents.
+        queries: Sends the queries to agents.
         sample_sender: Sends sample packets to unsure agents.
         resumer: Resumes flows that were found.
-        evidence: Decides when a flow is proven absent.
+        absence: Decides when a flow is proven absent.
         scope: Selects the agents to query.
         next_check_at: When a search next needs a check, or earlier, seconds.
             Cached, since it is read after each packet.
@@ -80,10 +80,10 @@
     health: HealthKeeper
     resetter: FlowResetter
     confirmer: ViewConfirmer
-    questions: Questions
-    sample_sender: FlowTrier
-    resumer: FlowRejoiner
-    evidence: Evidence
+    queries: FlowQueries
+    sample_sender: SampleSender
+    resumer: FlowResumer
+    absence: AbsenceChecker
     scope: SearchScope
     next_check_at: float = float("inf")
 
@@ -143,11 +143,11 @@
         search.unanswered.update(tags)
         flow = search.waiting[0].flow
         for host in tags.keys() & search.asked.keys():
-            self.questions.forget(flow, {host}, search.asked[host])
+            self.queries.forget(flow, {host}, search.asked[host])
         search.asked.update(tags)
         for host in sorted(search.unanswered):
             tag = search.asked[host]
-            self.questions.query([host], tag, search.waiting[0], now)
+            self.queries.query([host], tag, search.waiting[0], now)
             server = self.board.by_host.get(host)
             if server is not None:
                 self.health.expect(server, now)
@@ -173,7 +173,7 @@
         """Handles an agent's answer about several flows."""
         load = Load(tell.flows, tell.running, tell.pace_ms)
         self.health.on_heard(host, load, now)
-        asked = self.questions.on_answer(host, tell.number, now)
+        asked = self.queries.on_answer(host, tell.number, now)
         for flow in tell.present:
             self._handle_answer(host, NoteKind.PRESENT, flow, now)
         for flow in tell.absent:
@@ -181,7 +181,7 @@
             sampled = search is not None and host in search.sampled
             if flow in asked or (sampled and not tell.number):
                 self._handle_answer(host, NoteKind.ABSENT, flow, now)
-        unsure = self.evidence.interpret_unsure(host, tell, now)
+        unsure = self.absence.interpret_unsure(host, tell, now)
         for flow in tell.unsure:
             if flow in asked:
                 self._handle_answer(host, unsure, flow, now)
@@ -216,7 +216,7 @@
         del self.board.searches[flow]
         self.scope.on_ended(search)
         for host, tag in search.asked.items():
-            self.questions.forget(flow, {host}, tag)
+            self.queries.forget(flow, {host}, tag)
 
     def on_returned(self, host: str, segment: Segment, now: float) -> None:
         """Handles a packet returned because its flow is not at the server."""
@@ -269,7 +269,7 @@
         """Ends a search once the flow's absence is proven and confirmed."""
         if not self.board.uses.confirming or search.all_absent_at is None:
             return
-        if not self.evidence.is_complete(search.services, now):
+        if not self.absence.is_complete(search.services, now):
             return
         if self.confirmer.confirmed_up_to >= search.since:
             self._conclude_absent(flow, search, now)
@@ -313,7 +313,7 @@
 
     def tick(self, now: float) -> None:
         """Repeats queries and handles searches whose agents are silent."""
-        self.questions.tick(now)
+        self.queries.tick(now)
         for flow, search in list(self.board.searches.items()):
             if search.all_absent_at is not None:
                 if now - search.all_absent_at >= UNCONFIRMED_RESET_DELAY_S:
@@ -348,7 +348,7 @@
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
-        return min(self.next_check_at, self.questions.due())
+        return min(self.next_check_at, self.queries.due())
 
     def _update_next_check(self) -> None:
         """Computes when a search next needs a check."""
--- a/notchhoist/flows/balancer/questions.py
+++ b/notchhoist/flows/balancer/flow_queries.py
@@ -59,14 +59,14 @@
     send_count: int = 0
 
 
-class Questions(Struct, eq=False):
+class FlowQueries(Struct, eq=False):
     """Queries agents about flows.
 
     Attributes:
         board: State of the balancer.
         codec: Codec of the packets.
         distances: Receives the measured round-trip times.
-        lines: Query queues, by host and service tag.
+        queues: Query queues, by host and service tag.
         by_number: Keys of the queues with a query in flight, by its number.
         last_number: Number of the last query; see ``first_number``.
     """
@@ -74,7 +74,7 @@
     board: BalancerBoard
     codec: SegmentCodec
     distances: Distances
-    lines: dict[tuple[str, int], QueryQueue] = field(default_factory=dict)
+    queues: dict[tuple[str, int], QueryQueue] = field(default_factory=dict)
     by_number: dict[int, tuple[str, int]] = field(default_factory=dict)
     last_number: int = 0
 
@@ -105,9 +105,9 @@
                 self._send_next(host, tag, queue, now)
 
     def _queue_of(self, host: str, tag: int) -> QueryQueue:
-        queue = self.lines.get((host, tag))
+        queue = self.queues.get((host, tag))
         if queue is None:
-            queue = self.lines[host, tag] = QueryQueue()
+            queue = self.queues[host, tag] = QueryQueue()
         return queue
 
     def on_answer(self, host: str, number: int, now: float) -> set[bytes]:
@@ -119,7 +119,7 @@
             predate the opening of a flow.
         """
         key = self.by_number.get(number)
-        queue = self.lines.get(key) if key else None
+        queue = self.queues.get(key) if key else None
         if key is None or queue is None or key[0] != host:
             return set()
         asked = set(queue.queried)
@@ -152,7 +152,7 @@
         An agent that has just started missed the query, and the delay before
         the next retry may have grown to 0.8 s.
         """
-        queue = self.lines.get((host, tag))
+        queue = self.queues.get((host, tag))
         if (
             queue is None
             or not queue.number
@@ -165,7 +165,7 @@
     def forget(self, flow: bytes, hosts: set[str], tag: int) -> None:
         """Removes a flow from the queries to some agents."""
         for host in hosts:
-            queue = self.lines.get((host, tag))
+            queue = self.queues.get((host, tag))
             if queue is None:
                 continue
             queue.headers.pop(flow, None)
@@ -176,10 +176,10 @@
 
     def tick(self, now: float) -> None:
         """Sends unanswered queries again and drops empty queues."""
-        for key, queue in list(self.lines.items()):
+        for key, queue in list(self.queues.items()):
             if not queue.headers and not queue.samples:
                 self._clear_in_flight(queue)
-                del self.lines[key]
+                del self.queues[key]
             elif queue.number and now - queue.sent_at >= queue.retry_delay_s:
                 queue.retry_delay_s = min(
                     2 * queue.retry_delay_s, RETRY_DELAY_MAX_S
@@ -192,7 +192,7 @@
         return min(
             (
                 queue.sent_at + queue.retry_delay_s
-                for queue in self.lines.values()
+                for queue in self.queues.values()
             ),
             default=float("inf"),
         )
@@ -246,12 +246,12 @@
         self.board.outbox.append(SendPeer(host, message))
 
 
-def make_questions(
+def make_flow_queries(
     board: BalancerBoard,
     codec: SegmentCodec,
     distances: Distances,
     last_number: int = 0,
-) -> Questions:
+) -> FlowQueries:
     """Creates the queries of a balancer, with empty queues.
 
     Args:
@@ -260,4 +260,4 @@
         distances: Receives the measured round-trip times.
         last_number: The first query has the number after this one.
     """
-    return Questions(board, codec, distances, last_number=last_number)
+    return FlowQueries(board, codec, distances, last_number=last_number)
--- a/notchhoist/flows/balancer/resting.py
+++ b/notchhoist/flows/balancer/idle_flows.py
@@ -111,7 +111,7 @@
     groups: dict[str, ServerFlows] = field(default_factory=dict)
 
 
-class RestingKeeper(Struct, eq=False):
+class IdleFlowMonitor(Struct, eq=False):
     """Monitors idle flows and the servers that hold them.
 
     Attributes:
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -4,23 +4,23 @@
 from msgspec.structs import replace
 
 from notchhoist.base.draws import first_number, make_draw
+from notchhoist.flows.balancer.absence import AbsenceChecker
 from notchhoist.flows.balancer.confirming import ViewConfirmer
 from notchhoist.flows.balancer.distances import make_distances
-from notchhoist.flows.balancer.evidence import Evidence
 from notchhoist.flows.balancer.finding import FlowFinder
+from notchhoist.flows.balancer.flow_queries import make_flow_queries
 from notchhoist.flows.balancer.forwarding import FlowForwarder
 from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.idle_flows import IdleFlowMonitor
 from notchhoist.flows.balancer.informing import AgentInformer
 from notchhoist.flows.balancer.isolation import IsolationDetector
 from notchhoist.flows.balancer.liveness import HostChecker
 from notchhoist.flows.balancer.opening import FlowOpener, make_opener
-from notchhoist.flows.balancer.questions import make_questions
-from notchhoist.flows.balancer.rejoining import FlowRejoiner
 from notchhoist.flows.balancer.resetting import FlowResetter
-from notchhoist.flows.balancer.resting import RestingKeeper
+from notchhoist.flows.balancer.resuming import FlowResumer
+from notchhoist.flows.balancer.sample_packets import SampleSender
 from notchhoist.flows.balancer.scope import SearchScope
 from notchhoist.flows.balancer.targeting import service_for
-from notchhoist.flows.balancer.trying import FlowTrier
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.decisions.early_packets import EarlyPackets
 from notchhoist.flows.model import notes
@@ -89,7 +89,7 @@
     informer: AgentInformer
     isolation: IsolationDetector
     early: EarlyPackets
-    resting: RestingKeeper
+    resting: IdleFlowMonitor
     sweep_due: float = 0.0
 
     @property
@@ -219,7 +219,7 @@
     def _repeat_overdue_question(self, host: str, now: float) -> None:
         server = self.board.by_host.get(host)
         if server is not None:
-            self.finder.questions.on_heard(host, server.tag, now)
+            self.finder.queries.on_heard(host, server.tag, now)
 
     def on_host_checked(
         self, host: str, reach: Reach, now: float
@@ -251,7 +251,7 @@
 
     def _sweep(self, now: float) -> None:
         self.fleet.sweep(now)
-        self.finder.evidence.is_settled(now)
+        self.finder.absence.is_list_stable(now)
         self.health.distances.sweep(now)
         flows = self.board.flows
         idle_s = self.board.table.idle_s if self.board.table else 0.0
@@ -318,8 +318,10 @@
     number = first_number(numbers)
     sharer = make_view_synchronizer(board, fleet, seeds, link_mbps, number)
     informer = AgentInformer(board, sharer)
-    questions = make_questions(board, codec, distances, first_number(numbers))
-    evidence = Evidence(board)
+    questions = make_flow_queries(
+        board, codec, distances, first_number(numbers)
+    )
+    evidence = AbsenceChecker(board)
     finder = FlowFinder(
         board,
         codec,
@@ -327,8 +329,8 @@
         resetter,
         ViewConfirmer(board),
         questions,
-        FlowTrier(board, codec, questions),
-        FlowRejoiner(board, codec, health),
+        SampleSender(board, codec, questions),
+        FlowResumer(board, codec, health),
         evidence,
         SearchScope(board, evidence),
     )
@@ -348,5 +350,5 @@
         informer=informer,
         isolation=IsolationDetector(board, health, sharer),
         early=early,
-        resting=RestingKeeper(board, codec, health, finder),
+        resting=IdleFlowMonitor(board, codec, health, finder),
     )
--- a/notchhoist/flows/balancer/rejoining.py
+++ b/notchhoist/flows/balancer/resuming.py
@@ -3,8 +3,8 @@
 from msgspec import Struct
 
 from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.sample_packets import request_note
 from notchhoist.flows.balancer.search_records import services_text
-from notchhoist.flows.balancer.trying import request_note
 from notchhoist.flows.boards.balancer_board import (
     BalancerBoard,
     Placement,
@@ -17,7 +17,7 @@
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
 
-class FlowRejoiner(Struct, eq=False):
+class FlowResumer(Struct, eq=False):
     """Records where a flow was found and forwards its waiting packets.
 
     Attributes:
--- a/notchhoist/flows/balancer/trying.py
+++ b/notchhoist/flows/balancer/sample_packets.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.balancer.questions import Questions
+from notchhoist.flows.balancer.flow_queries import FlowQueries
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Search
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.notes import NoteKind
@@ -25,18 +25,18 @@
 """Maximum time to wait for the outcomes of sample packets, seconds."""
 
 
-class FlowTrier(Struct, eq=False):
+class SampleSender(Struct, eq=False):
     """Sends flow probes: one sample packet of a flow to every unsure agent.
 
     Attributes:
         board: State of the balancer.
         codec: Codec of the packets.
-        questions: Batches the samples of several flows into queries.
+        queries: Batches the samples of several flows into queries.
     """
 
     board: BalancerBoard
     codec: SegmentCodec
-    questions: Questions
+    queries: FlowQueries
 
     def send_to_unsure(self, search: Search, now: float) -> bool:
         """Sends a sample to all unsure agents of a search.
@@ -61,7 +61,7 @@
         for tag, tagged_hosts in by_tag.items():
             note = request_note(self.board, search, NoteKind.TRY, tag, now)
             datagram = self.codec.with_note(sample, note)
-            self.questions.send_sample(
+            self.queries.send_sample(
                 tagged_hosts, tag, sample.flow, datagram, now
             )
         search.answered_s = now - search.since
--- a/notchhoist/flows/balancer/scope.py
+++ b/notchhoist/flows/balancer/scope.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.balancer.evidence import Evidence
+from notchhoist.flows.balancer.absence import AbsenceChecker
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Search
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment
@@ -29,13 +29,13 @@
 
     Attributes:
         board: State of the balancer.
-        evidence: Knows which agents may have flows of a service.
+        absence: Knows which agents may have flows of a service.
         wide_queries: Number of pending headers limited by
             ``WIDE_QUERIES_MAX``.
     """
 
     board: BalancerBoard
-    evidence: Evidence
+    absence: AbsenceChecker
     wide_queries: int = 0
 
     def candidate_services(
@@ -69,7 +69,7 @@
 
     def unqueried_agents(self, search: Search) -> dict[str, int]:
         """Returns the agents of a search still to be queried, with tags."""
-        tags = self.tags_of(self.evidence.hosts_of(search.services))
+        tags = self.tags_of(self.absence.hosts_of(search.services))
         asked = search.asked
         return {
             host: tag for host, tag in tags.items() if asked.get(host) != tag
--- a/notchhoist/flows/balancer/tests/test_anew.py
+++ b/notchhoist/flows/balancer/tests/test_anew.py
@@ -41,7 +41,7 @@
 
 
 def queue_of(node, host):
-    queues = node.finder.questions.lines
+    queues = node.finder.queries.queues
     [queue] = [queue for (name, _), queue in queues.items() if name == host]
     return queue
 
--- a/notchhoist/flows/balancer/tests/test_distances.py
+++ b/notchhoist/flows/balancer/tests/test_distances.py
@@ -132,7 +132,7 @@
 def test_a_repeated_query_gives_no_sample(repeated, samples):
     node = balancer(servers=1)
     node.on_caller(request(), 0.0)
-    [(key, line)] = node.finder.questions.lines.items()
+    [(key, line)] = node.finder.queries.queues.items()
     if repeated:
         node.tick(0.11)
     node.on_peer(key[0], FlowsTell(line.number), 0.112)
--- a/notchhoist/flows/balancer/tests/test_finding.py
+++ b/notchhoist/flows/balancer/tests/test_finding.py
@@ -4,7 +4,7 @@
 
 from notchhoist.flows.balancer.finding import UNCONFIRMED_RESET_DELAY_S
 from notchhoist.flows.balancer.node import make_balancer
-from notchhoist.flows.balancer.trying import SAMPLE_WAIT_MIN_S
+from notchhoist.flows.balancer.sample_packets import SAMPLE_WAIT_MIN_S
 from notchhoist.flows.decisions.server_selection import CANDIDATES_MAX
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import (
--- a/notchhoist/flows/balancer/tests/test_questions.py
+++ b/notchhoist/flows/balancer/tests/test_flow_queries.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from notchhoist.flows.balancer.questions import (
+from notchhoist.flows.balancer.flow_queries import (
     QUERY_BYTES_MAX,
     RETRY_DELAY_MAX_S,
     RETRY_DELAY_S,
@@ -57,7 +57,7 @@
 def test_retries_to_a_silent_agent_back_off():
     node = balancer(servers=1)
     node.on_caller(unknown_flow_packet(1), 0.0)
-    flow_queries = node.finder.questions
+    flow_queries = node.finder.queries
     sent = 0
     for step in range(1, 200):
         now = 0.01 * step
@@ -89,7 +89,7 @@
     node = balancer(servers=1)
     lost = unknown_flow_packet(1)
     [sent_query] = queries_to_host(node.on_caller(lost, 0.0))
-    node.finder.questions.forget(lost.flow, {HOST}, TAG)
+    node.finder.queries.forget(lost.flow, {HOST}, TAG)
     del node.board.searches[lost.flow]
     node.on_caller(lost, 0.05)
     node.on_peer(HOST, FlowsTell(sent_query.number, absent=(lost.flow,)), 0.06)
--- a/notchhoist/flows/balancer/tests/test_resting.py
+++ b/notchhoist/flows/balancer/tests/test_idle_flows.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from notchhoist.flows.balancer import resting
-from notchhoist.flows.balancer.resting import FLOW_PROBES_PER_CAUSE
+from notchhoist.flows.balancer import idle_flows
+from notchhoist.flows.balancer.idle_flows import FLOW_PROBES_PER_CAUSE
 from notchhoist.flows.boards.balancer_board import Placement
 from notchhoist.flows.decisions.server_exit import (
     ANNOUNCED_EXIT_S,
@@ -113,7 +113,7 @@
 
 
 def test_scan_of_several_slices_reaches_all_flows(monkeypatch):
-    monkeypatch.setattr(resting, "FLOWS_PER_CHECK", 30)
+    monkeypatch.setattr(idle_flows, "FLOWS_PER_CHECK", 30)
     sliced = fleet_with_replaced_server(99)
     probes = collections.Counter(segment.flow for _, segment in sliced.sent)
     assert len(probes) == 100
@@ -123,18 +123,18 @@
 def test_one_check_scans_a_bounded_number_of_flows(monkeypatch):
     """Scanning up to 200,000 flows twice a second blocks the process."""
     asked = []
-    is_open = resting._is_open
+    is_open = idle_flows._is_open
     monkeypatch.setattr(
-        resting, "_is_open", lambda item: asked.append(1) or is_open(item)
+        idle_flows, "_is_open", lambda item: asked.append(1) or is_open(item)
     )
     fleet = Fleet()
     [placement] = fleet.node.board.flows.values()
-    for number in range(resting.FLOWS_PER_CHECK + 10):
+    for number in range(idle_flows.FLOWS_PER_CHECK + 10):
         fleet.node.board.flows[number.to_bytes(4, "big")] = placement
     fleet.node.tick(1.0)
-    assert len(asked) == resting.FLOWS_PER_CHECK
+    assert len(asked) == idle_flows.FLOWS_PER_CHECK
     fleet.node.tick(1.6)
-    assert len(asked) == resting.FLOWS_PER_CHECK + 11
+    assert len(asked) == idle_flows.FLOWS_PER_CHECK + 11
 
 
 def test_each_replacement_under_one_id_causes_new_flow_probes():
--- a/notchhoist/flows/balancer/tests/test_lives.py
+++ b/notchhoist/flows/balancer/tests/test_lives.py
@@ -37,7 +37,7 @@
     [query] = asked(node.on_caller(ours, NOW), FlowsAsk)
     assert query.number != old.number
     node.on_peer("10.0.0.1", FlowsTell(old.number), NOW)
-    [queue] = node.finder.questions.lines.values()
+    [queue] = node.finder.queries.queues.values()
     assert ours.flow in queue.headers
 
 
--- a/notchhoist/flows/balancer/tests/test_splits.py
+++ b/notchhoist/flows/balancer/tests/test_splits.py
@@ -226,7 +226,7 @@
     node.finder._end(LOST.flow, ended)
     for tenths in range(24, 44):
         node.tick(tenths / 10)
-    assert not node.finder.questions.lines
+    assert not node.finder.queries.queues
 
 
 def test_flow_of_a_removed_service_is_found():
--- a/notchhoist/flows/tests/balancing.py
+++ b/notchhoist/flows/tests/balancing.py
@@ -59,7 +59,7 @@
 
 def tell_flow(node, host, segment, kind, now):
     """Answers the pending query to an agent for one flow."""
-    lines = node.finder.questions.lines
+    lines = node.finder.queries.queues
     [line] = [line for (name, _), line in lines.items() if name == host]
     told = {kind.name.lower(): (segment.flow,)}
     return node.on_peer(host, FlowsTell(line.number, **told), now)
