--- a/notchhoist/daemon/flow_daemon.py
+++ b/notchhoist/daemon/flow_daemon.py
@@ -356,7 +356,7 @@
         if any(item.place.startswith("seeds") for item in settings.problems):
             settings = replace(settings, peers=self.settings.peers)
         if self.settings.balances:
-            self.balancer.sharer.seeds = settings.peers
+            self.balancer.synchronizer.seeds = settings.peers
         changed = [
             name
             for name in settings.__struct_fields__
--- a/notchhoist/daemon/flow_distances.py
+++ b/notchhoist/daemon/flow_distances.py
@@ -18,15 +18,15 @@
     """
     distances = node.health.distances
     for zone, trips in sorted(distances.by_zone.items()):
-        known = trips.trip_s < UNKNOWN
+        known = trips.estimate_s < UNKNOWN
         extra_s = distances.extra_s(zone)
         yield {
             "from_zone": distances.zone,
             "zone": zone,
-            "round_trip_ms": _ms(trips.trip_s) if known else None,
+            "round_trip_ms": _ms(trips.estimate_s) if known else None,
             "beyond_own_ms": _ms(extra_s),
             "measured_s": round(now - trips.measured_at, 3),
-            "answers": trips.window.count + trips.before.count,
+            "answers": trips.window.count + trips.previous_window.count,
             "long_for": " ".join(_long_for(node, extra_s)),
         }
 
--- a/notchhoist/daemon/flow_metrics.py
+++ b/notchhoist/daemon/flow_metrics.py
@@ -72,7 +72,7 @@
         "view_age_seconds": now - node.board.confirmed_at,
         "servers_suspected": sum(s.suspected for s in board.servers.values()),
         "servers_listed": sum(s.listed for s in board.servers.values()),
-        "balancers_alive": len(node.sharer.membership.alive(now)),
+        "balancers_alive": len(node.synchronizer.membership.alive(now)),
         "routes_split": len(board.placed),
         "zones_evacuated": len(board.view.evacuated),
     }
@@ -81,9 +81,9 @@
 def _round_trips(distances: Distances) -> list[str]:
     """Returns the round trips by zone, as far as they are known."""
     known = {
-        zone: trips.trip_s
+        zone: trips.estimate_s
         for zone, trips in sorted(distances.by_zone.items())
-        if trips.trip_s < float("inf")
+        if trips.estimate_s < float("inf")
     }
     if not known:
         return []
--- a/notchhoist/daemon/flow_runner.py
+++ b/notchhoist/daemon/flow_runner.py
@@ -132,7 +132,7 @@
     settings, loop = daemon.settings, daemon.loop
     bound_s = min(settings.apply_s, settings.drain_s, settings.evacuate_s)
     budget = PropagationBudget(bound_s)
-    node.sharer.max_age_s = budget.max_age_s
+    node.synchronizer.max_age_s = budget.max_age_s
     draw = make_draw(settings.name)
     reader = StoreReader(draw, budget.watch_s, budget.answer_s)
     calls = StoreCalls(
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -112,7 +112,7 @@
         "not_understood": len(board.problems),
         "view_revision": board.view.revision,
         "view_age_s": _age(now, node.board.confirmed_at),
-        "reads_store": node.sharer.membership.is_reader(now),
+        "reads_store": node.synchronizer.membership.is_reader(now),
         "isolated": board.isolated,
     }
 
@@ -230,7 +230,7 @@
 
 
 def _balancers(node: BalancerNode, now: float) -> Iterator[Row]:
-    for host, heard_at in node.sharer.membership.last_heard.items():
+    for host, heard_at in node.synchronizer.membership.last_heard.items():
         yield {"peer": host, "heard_s": _age(now, heard_at)}
 
 
--- a/notchhoist/daemon/tests/test_flow_state.py
+++ b/notchhoist/daemon/tests/test_flow_state.py
@@ -109,9 +109,9 @@
     near, far = node.board.servers.values()
     near.pace_ms = far.pace_ms = 15
     for number in range(8):
-        node.health.distances.note(near, 0.0, 0.0004)
+        node.health.distances.add_sample(near, 0.0, 0.0004)
         if number == 0:
-            node.health.distances.note(far, 0.0, 0.01)
+            node.health.distances.add_sample(far, 0.0, 0.01)
     own, other = dump(node, "distances", 1.0)
     assert (own["zone"], own["round_trip_ms"], own["long_for"]) == (
         "a",
@@ -120,7 +120,7 @@
     )
     assert (other["round_trip_ms"], other["answers"]) == (None, 1)
     for _ in range(8):
-        node.health.distances.note(far, 0.0, 0.01)
+        node.health.distances.add_sample(far, 0.0, 0.01)
     _, other = dump(node, "distances", 1.01)
     assert (other["round_trip_ms"], other["beyond_own_ms"]) == (10.0, 9.6)
     assert (other["measured_s"], other["long_for"]) == (1.0, crafting.SERVICE)
--- a/notchhoist/flows/balancer/accepting.py
+++ b/notchhoist/flows/balancer/accepting.py
@@ -76,7 +76,7 @@
         if opening is None or placement is None:
             return
         if placement.server.entry.host == host:
-            self.distances.note(placement.server, opening.sent_at, now)
+            self.distances.add_sample(placement.server, opening.sent_at, now)
 
     def record_duration(
         self, opening: Opening, outcome: str, now: float
--- a/notchhoist/flows/balancer/distances.py
+++ b/notchhoist/flows/balancer/distances.py
@@ -65,28 +65,31 @@
             self.second_min_s = sample_s
 
 
-class ZoneTrips(Struct, eq=False):
+class ZoneRoundTrip(Struct, eq=False):
     """Round-trip time to one availability zone.
 
     Attributes:
         window: Samples since ``window_began_at``.
-        before: Samples of the previous window.
+        previous_window: Samples of the previous window.
         window_began_at: When the current window began, seconds.
         measured_at: When the last sample was taken, seconds.
-        trip_s: The estimated round-trip time, seconds; ``UNKNOWN`` at first.
+        estimate_s: The estimated round-trip time, seconds; ``UNKNOWN`` at
+            first.
     """
 
     window: Window = field(default_factory=Window)
-    before: Window = field(default_factory=Window)
+    previous_window: Window = field(default_factory=Window)
     window_began_at: float = float("-inf")
     measured_at: float = float("-inf")
-    trip_s: float = UNKNOWN
+    estimate_s: float = UNKNOWN
 
     def add(self, sample_s: float, now: float) -> None:
         """Adds a round-trip sample and updates the estimate."""
         elapsed_s = now - self.window_began_at
         if elapsed_s >= WINDOW_S:
-            self.before = self.window if elapsed_s < 2 * WINDOW_S else Window()
+            self.previous_window = (
+                self.window if elapsed_s < 2 * WINDOW_S else Window()
+            )
             self.window = Window()
             self.window_began_at = now
         self.window.add(sample_s)
@@ -95,13 +98,13 @@
 
     def _update_estimate(self) -> None:
         """Takes the second smallest sample if enough samples agree."""
-        if self.window.count + self.before.count < MIN_SAMPLES:
+        if self.window.count + self.previous_window.count < MIN_SAMPLES:
             return
-        low, high = sorted((self.window, self.before), key=_min_s)
+        low, high = sorted((self.window, self.previous_window), key=_min_s)
         least_s = low.min_s
         second_s = min(low.second_min_s, high.min_s)
         if second_s <= AGREEMENT_FACTOR * least_s + AGREEMENT_SLACK_S:
-            self.trip_s = second_s
+            self.estimate_s = second_s
 
 
 def _min_s(window: Window) -> float:
@@ -117,7 +120,7 @@
     """
 
     zone: str = ""
-    by_zone: dict[str, ZoneTrips] = field(default_factory=dict)
+    by_zone: dict[str, ZoneRoundTrip] = field(default_factory=dict)
 
     def round_trip_s(self, server: Server) -> float:
         """Returns the round-trip time to a server's agent, seconds."""
@@ -137,9 +140,9 @@
 
     def _estimate_s(self, zone: str) -> float:
         trips = self.by_zone.get(zone)
-        return trips.trip_s if trips is not None else UNKNOWN
+        return trips.estimate_s if trips is not None else UNKNOWN
 
-    def note(self, server: Server, sent_at: float, now: float) -> None:
+    def add_sample(self, server: Server, sent_at: float, now: float) -> None:
         """Adds the round-trip time of a message that was sent only once.
 
         Args:
@@ -153,7 +156,7 @@
         zone = server.entry.zone
         trips = self.by_zone.get(zone)
         if trips is None:
-            trips = self.by_zone[zone] = ZoneTrips()
+            trips = self.by_zone[zone] = ZoneRoundTrip()
         trips.add(trip_s, now)
 
     def sweep(self, now: float) -> None:
--- a/notchhoist/flows/balancer/finding.py
+++ b/notchhoist/flows/balancer/finding.py
@@ -14,7 +14,7 @@
 from notchhoist.flows.balancer.absence import AbsenceChecker
 from notchhoist.flows.balancer.confirming import ViewConfirmer
 from notchhoist.flows.balancer.flow_queries import FlowQueries
-from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.health import AgentHealthMonitor
 from notchhoist.flows.balancer.resetting import FlowResetter
 from notchhoist.flows.balancer.resuming import FlowResumer
 from notchhoist.flows.balancer.sample_packets import SampleSender
@@ -77,7 +77,7 @@
 
     board: BalancerBoard
     codec: SegmentCodec
-    health: HealthKeeper
+    health: AgentHealthMonitor
     resetter: FlowResetter
     confirmer: ViewConfirmer
     queries: FlowQueries
@@ -150,7 +150,7 @@
             self.queries.query([host], tag, search.waiting[0], now)
             server = self.board.by_host.get(host)
             if server is not None:
-                self.health.expect(server, now)
+                self.health.on_packet_sent(server, now)
         return True
 
     def _query_remaining(self, search: Search, now: float) -> bool:
--- a/notchhoist/flows/balancer/flow_queries.py
+++ b/notchhoist/flows/balancer/flow_queries.py
@@ -140,7 +140,7 @@
         """Measures the round-trip time of a query that was sent once."""
         server = self.board.by_host.get(host)
         if server is not None and queue.send_count == 1:
-            self.distances.note(server, queue.sent_at, now)
+            self.distances.add_sample(server, queue.sent_at, now)
 
     def _clear_in_flight(self, queue: QueryQueue) -> None:
         self.by_number.pop(queue.number, None)
--- a/notchhoist/flows/balancer/forwarding.py
+++ b/notchhoist/flows/balancer/forwarding.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.health import AgentHealthMonitor
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Placement
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendAgent
@@ -23,7 +23,7 @@
 
     board: BalancerBoard
     codec: SegmentCodec
-    health: HealthKeeper
+    health: AgentHealthMonitor
 
     def forward(
         self, route: Route, placement: Placement, segment: Segment, now: float
@@ -50,7 +50,7 @@
         self.board.outbox.append(
             SendAgent(server.entry.host, datagram, segment.flow, segment.seq)
         )
-        self.health.expect(server, now)
+        self.health.on_packet_sent(server, now)
 
 
 def _wish(
--- a/notchhoist/flows/balancer/health.py
+++ b/notchhoist/flows/balancer/health.py
@@ -20,7 +20,7 @@
 """Maximum rate of load probes, also to thousands of servers. With the answers
 they take 15 KB/s of the 29 KB/s available to control traffic."""
 
-DOUBT_S = 0.1
+HEARD_RECENTLY_S = 0.1
 """An agent heard within this time is not probed on a retransmission."""
 
 PROBE_EVERY_S = 0.15
@@ -57,7 +57,7 @@
 """How long to wait for an agent that has announced a restart, seconds."""
 
 
-class HealthKeeper(Struct, eq=False):
+class AgentHealthMonitor(Struct, eq=False):
     """Keeps reported loads fresh and detects silent agents.
 
     An agent is probed only while packets are sent to it, so an idle fleet
@@ -85,7 +85,7 @@
     last_tick_at: float = float("inf")
     detection_resumes_at: float = float("-inf")
 
-    def expect(self, server: Server, now: float) -> None:
+    def on_packet_sent(self, server: Server, now: float) -> None:
         """Handles a packet sent to an agent; probes it if its load is old."""
         interval_s = max(LOAD_FRESH_S, len(self.board.by_host) / PROBES_PER_S)
         if server.probed_at is None and now - server.heard_at > interval_s:
@@ -93,7 +93,10 @@
 
     def on_retransmission(self, server: Server, now: float) -> None:
         """Probes an agent, as a retransmission may show a lost packet."""
-        if server.probed_at is None and now - server.heard_at > DOUBT_S:
+        if (
+            server.probed_at is None
+            and now - server.heard_at > HEARD_RECENTLY_S
+        ):
             self._probe(server, now)
 
     def probe(self, server: Server, now: float) -> bool:
@@ -158,7 +161,7 @@
         """
         sent_at = server.probe_sent_at
         if server.probed_at is not None and server.probed_at == sent_at:
-            self.distances.note(server, sent_at, now)
+            self.distances.add_sample(server, sent_at, now)
 
     def suspect(self, server: Server, now: float, reason: str) -> None:
         """Stops new flows to a server until its agent is heard again."""
@@ -220,7 +223,7 @@
                 and silence_s >= lost_after_s
                 and self.host_checker.confirms_loss(server, now)
             ):
-                self.give_up(server, now, "agent lost")
+                self.declare_lost(server, now, "agent lost")
             if now - server.probe_sent_at >= PROBE_EVERY_S:
                 self._probe(server, now)
 
@@ -244,7 +247,7 @@
             self.detection_resumes_at = now + PROBE_EVERY_S
         self.last_tick_at = now if self.awaiting_reply else float("inf")
 
-    def give_up(
+    def declare_lost(
         self, server: Server, now: float, reason: str, **inputs: object
     ) -> None:
         """Resets the flows of a server that is down or unreachable.
--- a/notchhoist/flows/balancer/idle_flows.py
+++ b/notchhoist/flows/balancer/idle_flows.py
@@ -11,7 +11,10 @@
 from msgspec import Struct, field
 
 from notchhoist.flows.balancer.finding import FlowFinder
-from notchhoist.flows.balancer.health import DOUBT_S, HealthKeeper
+from notchhoist.flows.balancer.health import (
+    HEARD_RECENTLY_S,
+    AgentHealthMonitor,
+)
 from notchhoist.flows.boards.balancer_board import BalancerBoard, Placement
 from notchhoist.flows.decisions.server_exit import (
     has_announced_drain,
@@ -128,7 +131,7 @@
 
     board: BalancerBoard
     codec: SegmentCodec
-    health: HealthKeeper
+    health: AgentHealthMonitor
     finder: FlowFinder
     rechecks: dict[str, Recheck] = field(default_factory=dict)
     scan: Scan = field(default_factory=Scan)
@@ -263,7 +266,7 @@
         ]
         others.sort(key=lambda server: -server.heard_at)
         for server in others[: REFERENCE_AGENTS_PER_SILENT * silent]:
-            if now - server.heard_at > DOUBT_S:
+            if now - server.heard_at > HEARD_RECENTLY_S:
                 self._send_health_probe(server, now)
 
     def _send_health_probe(self, server: Server, now: float) -> None:
@@ -310,7 +313,7 @@
             self.board.outbox.append(
                 SendAgent(server.entry.host, datagram, flow, last.seq)
             )
-        self.health.expect(server, now)
+        self.health.on_packet_sent(server, now)
         self.board.records.counters[Count.SEARCHED_AT_REST] += len(batch)
         self.board.records.decide(
             "try resting flows",
@@ -325,7 +328,7 @@
     def _give_up(self, server: Server, now: float) -> None:
         self.board.records.counters[Count.LEFT_FOR_GOOD] += 1
         refused_since = server.refused_since or now
-        self.health.give_up(
+        self.health.declare_lost(
             server,
             now,
             "server and agent ended",
--- a/notchhoist/flows/balancer/informing.py
+++ b/notchhoist/flows/balancer/informing.py
@@ -44,13 +44,13 @@
 
     Attributes:
         board: State of the balancer.
-        sharer: Tells whether this balancer reads the platform's store.
+        synchronizer: Tells whether this balancer reads the platform's store.
         queued_revision: View revision up to which changes have been queued.
         pending: Agents that have not confirmed, by server id.
     """
 
     board: BalancerBoard
-    sharer: ViewSynchronizer
+    synchronizer: ViewSynchronizer
     queued_revision: int = 0
     pending: dict[str, PendingState] = field(default_factory=dict)
 
@@ -71,7 +71,7 @@
             self.queued_revision,
             self.board.view.revision,
         )
-        if not self.sharer.membership.is_reader(now):
+        if not self.synchronizer.membership.is_reader(now):
             return
         for server in self.board.by_host.values():
             entry = server.entry
--- a/notchhoist/flows/balancer/isolation.py
+++ b/notchhoist/flows/balancer/isolation.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.health import AgentHealthMonitor
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.published.view_sync import ViewSynchronizer
@@ -35,17 +35,17 @@
     Attributes:
         board: State of the balancer.
         health: Tells which agents are silent.
-        sharer: Tells when another balancer was last heard.
+        synchronizer: Tells when another balancer was last heard.
         asked_at: When the other balancers were first queried, seconds, or None.
     """
 
     board: BalancerBoard
-    health: HealthKeeper
-    sharer: ViewSynchronizer
+    health: AgentHealthMonitor
+    synchronizer: ViewSynchronizer
     asked_at: float | None = None
 
     def tick(self, now: float) -> None:
-        """Updates the decision; ``HealthKeeper`` is due while agents owe.
+        """Updates the decision; ``AgentHealthMonitor`` is due while agents owe.
 
         Its ``due`` asks for ticks as long as it awaits replies, so this
         controller needs none of its own.
@@ -57,16 +57,16 @@
             return
         if self.asked_at is None:
             self.asked_at = now
-        if self.sharer.heard_at >= self.asked_at:
+        if self.synchronizer.heard_at >= self.asked_at:
             self._set_isolated(False, now)
             if now - self.asked_at >= ASK_BALANCERS_EVERY_S:
                 self.asked_at = now
-                self.sharer.query_several(now)
+                self.synchronizer.query_several(now)
             return
-        self.sharer.query_several(now)
+        self.synchronizer.query_several(now)
         if (
             now - self.asked_at >= ISOLATED_AFTER_S
-            and self.sharer.knows_others()
+            and self.synchronizer.knows_others()
         ):
             self._set_isolated(True, now)
 
@@ -92,6 +92,6 @@
             b"",
             "not ready" if isolated else "ready",
             agents_silent_s=round(now - self.health.heard_at, 3),
-            balancers_silent_s=round(now - self.sharer.heard_at, 3),
+            balancers_silent_s=round(now - self.synchronizer.heard_at, 3),
             agents_owing=len(self.health.awaiting_reply),
         )
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -10,7 +10,7 @@
 from notchhoist.flows.balancer.finding import FlowFinder
 from notchhoist.flows.balancer.flow_queries import make_flow_queries
 from notchhoist.flows.balancer.forwarding import FlowForwarder
-from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.health import AgentHealthMonitor
 from notchhoist.flows.balancer.idle_flows import IdleFlowMonitor
 from notchhoist.flows.balancer.informing import AgentInformer
 from notchhoist.flows.balancer.isolation import IsolationDetector
@@ -67,12 +67,12 @@
         opener: Places new flows.
         forwarder: Forwards packets of placed flows.
         finder: Searches for flows that are not known here.
-        reroutings: Detects routes that no longer name a service.
-        sharer: Synchronizes the published view with other balancers.
+        reroute_detector: Detects routes that no longer name a service.
+        synchronizer: Synchronizes the published view with other balancers.
         informer: Sends agents the published state of their servers.
         isolation: Detects that this balancer is isolated.
         early: Buffers packets that arrive before routes and servers are known.
-        resting: Checks idle flows whose server may be down.
+        idle_monitor: Checks idle flows whose server may be down.
         sweep_due: When expired state is next removed, seconds.
     """
 
@@ -80,16 +80,16 @@
     codec: SegmentCodec
     fleet: FleetUpdater
     resetter: FlowResetter
-    health: HealthKeeper
+    health: AgentHealthMonitor
     opener: FlowOpener
     forwarder: FlowForwarder
     finder: FlowFinder
-    reroutings: RerouteDetector
-    sharer: ViewSynchronizer
+    reroute_detector: RerouteDetector
+    synchronizer: ViewSynchronizer
     informer: AgentInformer
     isolation: IsolationDetector
     early: EarlyPackets
-    resting: IdleFlowMonitor
+    idle_monitor: IdleFlowMonitor
     sweep_due: float = 0.0
 
     @property
@@ -208,11 +208,11 @@
             case FlowsTell():
                 self.finder.on_tell(host, message, now)
             case ViewAsk():
-                self.sharer.on_query(host, message, now)
+                self.synchronizer.on_query(host, message, now)
             case ViewTell():
-                self.sharer.on_update(host, message, now)
+                self.synchronizer.on_update(host, message, now)
             case ViewPiece():
-                self.sharer.on_piece(host, message, now)
+                self.synchronizer.on_piece(host, message, now)
         self.on_published(now)
         return self.take_effects()
 
@@ -230,19 +230,19 @@
 
     def on_published(self, now: float) -> None:
         """Handles changes of what the platform publishes."""
-        self.reroutings.check(now)
+        self.reroute_detector.check(now)
         self._replay_early(now)
 
     def tick(self, now: float) -> list[Effect]:
         """Performs the periodic work that is due."""
         self.early.note_start(now)
-        self.reroutings.check(now)
+        self.reroute_detector.check(now)
         self.opener.tick(now)
-        self.resting.tick(now)
+        self.idle_monitor.tick(now)
         self.finder.tick(now)
         self.health.tick(now)
         self.isolation.tick(now)
-        self.sharer.tick(now)
+        self.synchronizer.tick(now)
         self.informer.tick(now)
         if now >= self.sweep_due:
             self.sweep_due = now + SWEEP_EVERY_S
@@ -274,9 +274,9 @@
             self.opener.due(),
             self.finder.due(),
             self.health.due(),
-            self.sharer.due(),
+            self.synchronizer.due(),
             self.informer.due(),
-            self.resting.due(),
+            self.idle_monitor.due(),
             self.sweep_due,
         )
 
@@ -312,7 +312,9 @@
     resetter = FlowResetter(board, codec)
     distances = make_distances(zone)
     host_checker = HostChecker(board)
-    health = HealthKeeper(board, resetter, host_checker, distances, link_mbps)
+    health = AgentHealthMonitor(
+        board, resetter, host_checker, distances, link_mbps
+    )
     fleet = make_fleet_updater(board)
     draw, numbers = make_draw(seed), make_draw(f"numbers of {seed}")
     number = first_number(numbers)
@@ -345,10 +347,10 @@
         ),
         forwarder=FlowForwarder(board, codec, health),
         finder=finder,
-        reroutings=RerouteDetector(board),
-        sharer=sharer,
+        reroute_detector=RerouteDetector(board),
+        synchronizer=sharer,
         informer=informer,
         isolation=IsolationDetector(board, health, sharer),
         early=early,
-        resting=IdleFlowMonitor(board, codec, health, finder),
+        idle_monitor=IdleFlowMonitor(board, codec, health, finder),
     )
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -6,7 +6,7 @@
 
 from notchhoist.base.draws import Draw
 from notchhoist.flows.balancer.accepting import OfferOutcomes
-from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.health import AgentHealthMonitor
 from notchhoist.flows.balancer.informing import AgentInformer
 from notchhoist.flows.balancer.locality import ZoneLocality
 from notchhoist.flows.balancer.resetting import FlowResetter
@@ -50,7 +50,7 @@
 
     board: BalancerBoard
     codec: SegmentCodec
-    health: HealthKeeper
+    health: AgentHealthMonitor
     resetter: FlowResetter
     draw: Draw
     early: EarlyPackets
@@ -232,7 +232,7 @@
         note = notes.to_agent(kind, server.tag, wish)
         datagram = self.codec.with_note(segment, note)
         self.board.outbox.append(SendAgent(server.entry.host, datagram))
-        self.health.expect(server, now)
+        self.health.on_packet_sent(server, now)
 
     def _reject(self, opening: Opening, willing: int, now: float) -> None:
         """Gives up placing a flow; nothing has run, so the caller may retry."""
@@ -328,7 +328,7 @@
 def make_opener(
     board: BalancerBoard,
     codec: SegmentCodec,
-    health: HealthKeeper,
+    health: AgentHealthMonitor,
     resetter: FlowResetter,
     draw: Draw,
     early: EarlyPackets,
--- a/notchhoist/flows/balancer/resuming.py
+++ b/notchhoist/flows/balancer/resuming.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.balancer.health import HealthKeeper
+from notchhoist.flows.balancer.health import AgentHealthMonitor
 from notchhoist.flows.balancer.sample_packets import request_note
 from notchhoist.flows.balancer.search_records import services_text
 from notchhoist.flows.boards.balancer_board import (
@@ -28,7 +28,7 @@
 
     board: BalancerBoard
     codec: SegmentCodec
-    health: HealthKeeper
+    health: AgentHealthMonitor
 
     def resume(
         self, flow: bytes, search: Search, server: Server, now: float
@@ -57,7 +57,7 @@
                     server.entry.host, datagram, segment.flow, segment.seq
                 )
             )
-        self.health.expect(server, now)
+        self.health.on_packet_sent(server, now)
 
     def record_late_answer(
         self, host: str, segment: Segment, now: float
--- a/notchhoist/flows/balancer/tests/test_distances.py
+++ b/notchhoist/flows/balancer/tests/test_distances.py
@@ -25,8 +25,8 @@
     distances = make_distances("a")
     for number in range(count):
         at = now + number / 100
-        distances.note(NEAR, at - near_s, at)
-        distances.note(FAR, at - far_s, at)
+        distances.add_sample(NEAR, at - near_s, at)
+        distances.add_sample(FAR, at - far_s, at)
     return distances
 
 
@@ -59,13 +59,13 @@
     distances = measured_distances()
     for number in range(200):
         at = 101.0 + number / 100
-        distances.note(FAR, at - (0.08 if number % 10 else 0.011), at)
+        distances.add_sample(FAR, at - (0.08 if number % 10 else 0.011), at)
     assert distances.round_trip_s(FAR) < 0.012
 
 
 def test_a_single_sample_that_is_too_short_is_ignored():
     distances = measured_distances()
-    distances.note(FAR, 101.0, 101.0001)
+    distances.add_sample(FAR, 101.0, 101.0001)
     assert distances.round_trip_s(FAR) == pytest.approx(0.01)
 
 
@@ -73,7 +73,7 @@
 def test_samples_out_of_range_are_ignored(trip_s):
     distances = measured_distances()
     for _ in range(MIN_SAMPLES):
-        distances.note(FAR, 102.0 - trip_s, 102.0)
+        distances.add_sample(FAR, 102.0 - trip_s, 102.0)
     assert distances.round_trip_s(FAR) == pytest.approx(0.01)
 
 
@@ -81,7 +81,7 @@
     distances = measured_distances(now=100.0)
     for number in range(300):
         at = 100.5 + number / 10
-        distances.note(FAR, at - 0.03, at)
+        distances.add_sample(FAR, at - 0.03, at)
         if at < 100.0 + WINDOW_S:
             assert distances.round_trip_s(FAR) == pytest.approx(0.01)
     assert distances.round_trip_s(FAR) == pytest.approx(0.03)
--- a/notchhoist/flows/balancer/tests/test_locality.py
+++ b/notchhoist/flows/balancer/tests/test_locality.py
@@ -31,7 +31,7 @@
         server.heard_at = 0.0
         trip_s = 0.0004 if server.entry.zone == "a" else far_s
         for _ in range(MIN_SAMPLES):
-            node.health.distances.note(server, 0.0, trip_s)
+            node.health.distances.add_sample(server, 0.0, trip_s)
     return node
 
 
--- a/notchhoist/flows/balancer/tests/test_splits.py
+++ b/notchhoist/flows/balancer/tests/test_splits.py
@@ -188,7 +188,7 @@
     ages = {"placing_for_ms": 300_000, "rerouted_for_ms": 900}
     piece = ViewPiece(1, 0, 0.1, (), 0, 2, b"half", asked=1, **ages)
     node.on_peer("10.0.9.1", piece, 1.0)
-    assert not node.sharer.pieces.incoming
+    assert not node.synchronizer.pieces.incoming
     assert node.board.first_placement_at == -299.0
     assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
 
--- a/notchhoist/flows/published/tests/test_eras.py
+++ b/notchhoist/flows/published/tests/test_eras.py
@@ -110,7 +110,7 @@
     host = source.board.host
     known = target.board.view.revision
     change = source.board.view.since(known)
-    target.sharer.on_update(host, ViewTell(change, 0.0, ()), now)
+    target.synchronizer.on_update(host, ViewTell(change, 0.0, ()), now)
     asked = [
         effect.message.revision
         for effect in target.take_effects()
@@ -120,7 +120,7 @@
     ]
     for revision in asked:
         change = source.board.view.since(revision)
-        target.sharer.on_update(host, ViewTell(change, 0.0, ()), now)
+        target.synchronizer.on_update(host, ViewTell(change, 0.0, ()), now)
 
 
 def test_update_of_an_earlier_era_confirms_nothing():
@@ -128,9 +128,11 @@
     node = list_servers(
         balancer_with(entry(1)), [(entry(1), at(41, 2))], at(57, 2), 1.0
     )
-    node.sharer.query_sent_at[7] = 1.0
+    node.synchronizer.query_sent_at[7] = 1.0
     change = outdated.board.view.since(node.board.view.revision)
-    node.sharer.on_update(HOSTS[1], ViewTell(change, 0.0, (), asked=7), 1.1)
+    node.synchronizer.on_update(
+        HOSTS[1], ViewTell(change, 0.0, (), asked=7), 1.1
+    )
     assert node.board.confirmed_at == float("-inf")
     assert era_of(node.board.view.revision) == 2
 
--- a/notchhoist/flows/published/tests/test_membership.py
+++ b/notchhoist/flows/published/tests/test_membership.py
@@ -26,9 +26,11 @@
     fail_calls(fleet, reader)
     fleet.run(fleet.now + 1.0)
     node = fleet.nodes[reader]
-    node.sharer.on_confirmed(fleet.now)
-    assert not node.sharer.must_read(fleet.now)
-    assert node.sharer.must_read(node.board.store_failed_at + STORE_RETRY_S)
+    node.synchronizer.on_confirmed(fleet.now)
+    assert not node.synchronizer.must_read(fleet.now)
+    assert node.synchronizer.must_read(
+        node.board.store_failed_at + STORE_RETRY_S
+    )
 
 
 def test_reader_resumes_once_the_store_answers_again():
@@ -40,13 +42,13 @@
         fleet.nodes[host].board.store_answered_at = fleet.now
     fleet.run(fleet.now + 1.5)
     for host in HOSTS:
-        fleet.nodes[host].sharer.on_confirmed(fleet.now)
+        fleet.nodes[host].synchronizer.on_confirmed(fleet.now)
     assert fleet.readers() == readers
 
 
 def test_older_report_of_a_member_does_not_replace_a_newer_one():
     node = make_balancer("a", CODEC, "n", HOSTS[0])
-    membership = node.sharer.membership
+    membership = node.synchronizer.membership
     membership.on_member(Member(HOSTS[1], 100, 0, unserved=False), 10.0)
     membership.on_member(Member(HOSTS[1], 100, 500, unserved=True), 10.1)
     assert not membership.is_unserved(HOSTS[1])
@@ -54,7 +56,7 @@
 
 def test_readers_are_sent_although_many_unserved_members_rank_before_them():
     node = make_balancer("a", CODEC, "n", HOSTS[0])
-    membership = node.sharer.membership
+    membership = node.synchronizer.membership
     for number in range(40):
         unserved_member = Member(f"10.1.0.{number}", 1000, unserved=True)
         membership.on_member(unserved_member, 5.0)
--- a/notchhoist/flows/published/tests/test_pieces.py
+++ b/notchhoist/flows/published/tests/test_pieces.py
@@ -24,7 +24,7 @@
     sender.fleet.tables.on_table(crafting.table(3, routes), 5)
     servers = [(entry(n), 1) for n in range(SERVERS)]
     sender.fleet.on_listing(servers, revision, 0.0)
-    sender.sharer.on_confirmed(0.0)
+    sender.synchronizer.on_confirmed(0.0)
     sender.take_effects()
     return sender
 
@@ -50,7 +50,7 @@
     Three senders took 0.6 s to send each receiver 120 KB in 139 messages.
     """
     node = make_sender()
-    node.sharer.membership.last_heard = {
+    node.synchronizer.membership.last_heard = {
         f"10.100.100.{100 + n}": 0.0 for n in range(20)
     }
     datagrams = query_messages(node)
@@ -99,16 +99,16 @@
     node, receiver = make_sender(), make_balancer("a", CODEC, "x", RECEIVER)
     datagrams = query_messages(node)
     deliver(receiver, datagrams)
-    receiver.sharer.query_sent_at[1] = 0.3
+    receiver.synchronizer.query_sent_at[1] = 0.3
     deliver(receiver, datagrams[:-1], 0.4)
-    assert not receiver.sharer.pieces.incoming
+    assert not receiver.synchronizer.pieces.incoming
     assert receiver.board.confirmed_at == pytest.approx(0.2)
 
 
 def test_view_of_an_earlier_era_confirms_nothing():
     receiver = make_balancer("a", CODEC, "x", RECEIVER)
     deliver(receiver, query_messages(make_sender(make_revision(1, 9))))
-    receiver.sharer.query_sent_at[1] = 0.3
+    receiver.synchronizer.query_sent_at[1] = 0.3
     before = receiver.board.confirmed_at
     deliver(receiver, query_messages(make_sender(9)), 0.4)
     assert receiver.board.confirmed_at == before
--- a/notchhoist/flows/published/tests/test_tables.py
+++ b/notchhoist/flows/published/tests/test_tables.py
@@ -76,12 +76,12 @@
     right, wrong = balancer("r", [443], 2), balancer("w", [445], 2)
     assert not queries_after_update(right, wrong)
     assert not queries_after_update(wrong, right)
-    assert right.sharer.reconciler.needs_store_read
-    assert right.sharer.must_read(0.0)
+    assert right.synchronizer.reconciler.needs_store_read
+    assert right.synchronizer.must_read(0.0)
     for node in (right, wrong):
         table = crafting.table(2, routes_of([443]))
         node.fleet.tables.on_table(table, 2, replace_same_version=True)
-        node.sharer.reconciler.on_listed()
+        node.synchronizer.reconciler.on_listed()
     assert right.board.view.digest == wrong.board.view.digest
 
 
@@ -89,7 +89,7 @@
     known = receiver.board.view.revision
     message = ViewTell(sender.board.view.since(known), 0.0, ())
     receiver.board.outbox.clear()
-    receiver.sharer.on_update("teller", message, 0.0)
+    receiver.synchronizer.on_update("teller", message, 0.0)
     return list(receiver.board.outbox)
 
 
@@ -99,7 +99,7 @@
     between = reader.board.view.revision
     read_next_version(reader, 3, [443, 445])
     message = ViewTell(reader.board.view.since(between), 0.0, ())
-    receiver_node.sharer.on_update("10.0.0.9", message, 0.0)
+    receiver_node.synchronizer.on_update("10.0.0.9", message, 0.0)
     [ask] = receiver_node.board.outbox
     assert (ask.host, ask.message.revision) == ("10.0.0.9", 1)
 
--- a/notchhoist/flows/published/tests/test_view_sync.py
+++ b/notchhoist/flows/published/tests/test_view_sync.py
@@ -47,7 +47,7 @@
             node.fleet.on_entry(item, revision, self.now)
         node.board.fleet_known = True
         node.board.view.reach(revision)
-        node.sharer.on_confirmed(self.now)
+        node.synchronizer.on_confirmed(self.now)
         self.carry(host, node.take_effects())
 
     def run(self, until):
@@ -60,7 +60,7 @@
         return {
             host
             for host, node in self.nodes.items()
-            if node.sharer.must_read(self.now)
+            if node.synchronizer.must_read(self.now)
         }
 
 
@@ -70,7 +70,7 @@
         fleet.publish(host, entry(1), revision=1, version=1)
     fleet.run(3.0)
     for host in HOSTS:
-        fleet.nodes[host].sharer.on_confirmed(fleet.now)
+        fleet.nodes[host].synchronizer.on_confirmed(fleet.now)
     return fleet
 
 
@@ -116,11 +116,11 @@
 def test_longer_maximum_age_is_used():
     fleet = stable_fleet()
     cut_off = (set(HOSTS) - fleet.readers()).pop()
-    fleet.nodes[cut_off].sharer.max_age_s = 4.5
+    fleet.nodes[cut_off].synchronizer.max_age_s = 4.5
     fleet.cut = {cut_off}
     fleet.run(fleet.now + MAX_VIEW_AGE_S + 0.1)
-    assert not fleet.nodes[cut_off].sharer.must_read(fleet.now) or (
-        fleet.nodes[cut_off].sharer.membership.is_reader(fleet.now)
+    assert not fleet.nodes[cut_off].synchronizer.must_read(fleet.now) or (
+        fleet.nodes[cut_off].synchronizer.membership.is_reader(fleet.now)
     )
 
 
@@ -131,7 +131,7 @@
     fleet.cut = {failed}
     for _ in range(int(2 * ALIVE_TIMEOUT_S)):
         for host in fleet.readers():
-            fleet.nodes[host].sharer.on_confirmed(fleet.now)
+            fleet.nodes[host].synchronizer.on_confirmed(fleet.now)
         fleet.run(fleet.now + 0.5)
     assert len(fleet.readers()) == 2
 
@@ -319,13 +319,13 @@
     )
     responder.fleet.tables.on_table(crafting.table(), 1)
     responder.fleet.on_listing([(entry(1), 1)], 1, 0.0)
-    responder.sharer.on_confirmed(0.0)
+    responder.synchronizer.on_confirmed(0.0)
     [ask] = [
         item.message
         for item in requester.tick(10.0)
         if isinstance(item, SendPeer) and item.host == HOSTS[0]
     ]
-    responder.sharer.on_confirmed(10.0)
+    responder.synchronizer.on_confirmed(10.0)
     [update] = [
         item.message
         for item in responder.on_peer(HOSTS[1], ask, 10.001)
@@ -333,7 +333,7 @@
     ]
     requester.on_peer(HOSTS[0], update, 11.0)
     assert requester.board.confirmed_at <= 10.0
-    assert requester.sharer.must_read(10.0 + MAX_VIEW_AGE_S)
+    assert requester.synchronizer.must_read(10.0 + MAX_VIEW_AGE_S)
 
 
 def test_response_to_an_unknown_query_confirms_nothing():
@@ -351,7 +351,7 @@
     node = fleet.nodes[last]
     node.fleet.tables.on_table(crafting.table(), 5)
     node.fleet.on_listing([(entry(1), 4)], 5, fleet.now)
-    node.sharer.on_confirmed(fleet.now)
+    node.synchronizer.on_confirmed(fleet.now)
     fleet.carry(last, node.take_effects())
     for other in fleet.nodes.values():
         assert other.board.fleet_known
--- a/notchhoist/platform/feeding.py
+++ b/notchhoist/platform/feeding.py
@@ -67,10 +67,10 @@
             None where another balancer tells enough; ``reader.due`` then says
             when to ask again.
         """
-        needed = self.node.sharer.must_read(now)
+        needed = self.node.synchronizer.must_read(now)
         self._note_reading(needed, now)
         if not needed:
-            stale_at = self.node.sharer.stale_at()
+            stale_at = self.node.synchronizer.stale_at()
             soonest = now + RECONSIDER_AT_LEAST_S
             self.reader.due = min(now + RECONSIDER_S, max(stale_at, soonest))
             return None
@@ -88,7 +88,7 @@
 
     def _note_reading(self, needed: bool, now: float) -> None:
         """Logs when this balancer begins to read the store, or ends."""
-        reader = self.node.sharer.membership.is_reader(now)
+        reader = self.node.synchronizer.membership.is_reader(now)
         reading = ("reader" if reader else "stale") if needed else "told"
         if reading == self.reading:
             return
@@ -131,14 +131,14 @@
             self._note_regained()
         self.unsure = self.unsure and listed is None
         if listed is not None:
-            self.node.sharer.reconciler.on_listed()
+            self.node.synchronizer.reconciler.on_listed()
         for event in events:
             self._apply(event, now)
         board = self.node.board
         # A refused watch or a first page of several confirms nothing.
         if board.fleet_known and self.reader.confirms:
             board.view.reach(self.reader.revision)
-            self.node.sharer.on_confirmed(
+            self.node.synchronizer.on_confirmed(
                 now, self.reader.answer_age_s(now - self.called_at)
             )
             self.node.on_published(now)
@@ -157,8 +157,8 @@
         was known again: only a list shows that.
         """
         answered_at = self.node.board.store_answered_at
-        told = now - answered_at > self.node.sharer.max_age_s
-        doubtful = self.node.sharer.reconciler.needs_store_read
+        told = now - answered_at > self.node.synchronizer.max_age_s
+        doubtful = self.node.synchronizer.reconciler.needs_store_read
         return self.unsure or doubtful or (told and not self.named)
 
     def _is_unnamed_era(self, listed: ServersListed | None) -> bool:
@@ -232,7 +232,7 @@
         tell the same.
         """
         told = self.node.board.fleet_known and not self.reader.knows
-        return not told or self.node.sharer.must_read(now)
+        return not told or self.node.synchronizer.must_read(now)
 
     def on_not_needed(self, now: float) -> None:
         """Takes account of a call that ``needs_answer`` has ended."""
@@ -268,7 +268,7 @@
         for event in changes.events:
             self._apply(event, now)
         board.view.reach(changes.revision)
-        self.node.sharer.on_confirmed(now, now - self.confirming_since)
+        self.node.synchronizer.on_confirmed(now, now - self.confirming_since)
         self.node.finder.on_view_confirmed(now)
 
     def _check_era_of_view(self, era: int) -> None:
--- a/notchhoist/platform/tests/test_feeding.py
+++ b/notchhoist/platform/tests/test_feeding.py
@@ -105,7 +105,7 @@
 def told_by_another(feeder, now):
     teller = fed(item("op/config", CONFIGURATION), item("servers/i-1", ENTRY))
     ask = ViewAsk(0, 5, 1)
-    feeder.node.sharer.query_sent_at[1] = now
+    feeder.node.synchronizer.query_sent_at[1] = now
     for effect in teller.node.on_peer("10.0.0.1", ask, 0.01):
         if isinstance(effect, SendPeer) and isinstance(
             effect.message, ViewTell
@@ -126,11 +126,11 @@
     assert feeder.needs_answer(5.1)
     told_by_another(feeder, 5.2)
     assert feeder.node.is_ready
-    feeder.node.sharer.membership.last_heard |= {
+    feeder.node.synchronizer.membership.last_heard |= {
         "10.0.0.2": 5.2,
         "10.0.0.4": 5.2,
     }
-    feeder.node.sharer.membership.link_mbps_by_host |= {
+    feeder.node.synchronizer.membership.link_mbps_by_host |= {
         "10.0.0.2": 100,
         "10.0.0.4": 100,
     }
@@ -143,7 +143,7 @@
 def test_a_balancer_that_is_to_read_for_others_reads_to_the_end():
     feeder = starting()
     told_by_another(feeder, 5.2)
-    assert feeder.node.sharer.membership.is_reader(5.2)
+    assert feeder.node.synchronizer.membership.is_reader(5.2)
     assert feeder.needs_answer(5.2)
 
 
@@ -184,7 +184,7 @@
     budget = PropagationBudget(bound_s)
     feeder = fed(item("op/config", CONFIGURATION))
     feeder.reader = StoreReader(make_draw("s"), budget.watch_s, budget.answer_s)
-    sharer = feeder.node.sharer
+    sharer = feeder.node.synchronizer
     sharer.max_age_s = budget.max_age_s
     called_at = sharer.stale_at()
     lost = feeder.next_call(called_at)
@@ -204,7 +204,7 @@
 def test_a_doubtful_view_is_read_anew_and_mended():
     """The same version was passed over, whatever it held."""
     feeder = fed(item("op/config", CONFIGURATION))
-    board, mender = feeder.node.board, feeder.node.sharer.reconciler
+    board, mender = feeder.node.board, feeder.node.synchronizer.reconciler
     [route] = board.table.routes.values()
     wrong = RouteTable(board.table.version, {}, board.table.idle_s)
     feeder.node.fleet.tables.on_table(wrong, 50, replace_same_version=True)
--- a/notchhoist/platform/tests/test_unnamed_eras.py
+++ b/notchhoist/platform/tests/test_unnamed_eras.py
@@ -89,5 +89,5 @@
     feeder = known()
     feeder.next_call(0.6)
     assert "/kv-watch" in feeder.next_call(0.6).target
-    later = 0.6 + feeder.node.sharer.max_age_s + 0.1
+    later = 0.6 + feeder.node.synchronizer.max_age_s + 0.1
     assert "/kv-range" in feeder.next_call(later).target
--- a/notchhoist/testing/opaque/changes.py
+++ b/notchhoist/testing/opaque/changes.py
@@ -124,7 +124,7 @@
             host
             for host in self.balancers()
             if isinstance(host.node, BalancerNode)
-            and host.node.sharer.membership.is_reader(self.world.now)
+            and host.node.synchronizer.membership.is_reader(self.world.now)
         ]
 
     def cut_hosts(self, host: Host, for_s: float) -> None:
--- a/notchhoist/testing/opaque/tests/test_changes.py
+++ b/notchhoist/testing/opaque/tests/test_changes.py
@@ -29,7 +29,7 @@
 
     def cut():
         [one, *_] = day.balancers()
-        for ip in one.node.sharer.membership.alive(day.world.now)[:3]:
+        for ip in one.node.synchronizer.membership.alive(day.world.now)[:3]:
             day.cut_store(day.world.hosts[ip], SECONDS)
 
     day.world.later(changes.CALM_S, cut)
