--- a/benchmarks/bench_flow_capacity.py
+++ b/benchmarks/bench_flow_capacity.py
@@ -79,8 +79,8 @@
             continue
         segment = CODEC.decode_request(effect.datagram)
         if notes.kind_of(segment.note) is NoteKind.PLACE:
-            note = notes.to_balancer(NoteKind.TAKEN, Load(30, 1, 60))
-            head = CODEC.head_with_note(segment, note)
+            note = notes.to_balancer(NoteKind.ACCEPTED, Load(30, 1, 60))
+            head = CODEC.header_with_note(segment, note)
             sent += len(head) + HEADERS_BYTES
             node.on_agent(effect.host, CODEC.decode_request(head), now)
     return sent
@@ -128,7 +128,7 @@
     for number in range(2000):
         raw = packet(number % flows, ACK, data=b"x" * 100)
         segment = CODEC.decode_request(raw)
-        note = notes.to_agent(NoteKind.HELD, tag)
+        note = notes.to_agent(NoteKind.FORWARD, tag)
         noted = CODEC.decode_request(CODEC.with_note(segment, note))
         node.on_balancer("10.0.0.1", noted, 1.0)
     return (time.process_time() - begun) / 2000
--- a/notchhoist/daemon/flow_daemon.py
+++ b/notchhoist/daemon/flow_daemon.py
@@ -35,8 +35,8 @@
     CheckBackend,
     CheckHost,
     ConfirmView,
+    ConnectResult,
     Effect,
-    Reach,
     SendAgent,
     SendBackend,
     SendBalancer,
@@ -256,7 +256,7 @@
             case SendPeer():
                 self._send_peer(effect)
             case CheckBackend():
-                self._check_backend(effect.sample)
+                self._check_backend(effect.packet)
             case CheckHost():
                 self._check_host(effect.host)
             case ConfirmView():
@@ -278,12 +278,12 @@
             now = self.loop.clock()
             self.perform(self.agent.on_backend_checked(listens, now, ended))
 
-        def on_packet_checked(reach: Reach) -> None:
-            end(listens=False, ended=reach is Reach.REFUSED)
+        def on_packet_checked(reach: ConnectResult) -> None:
+            end(listens=False, ended=reach is ConnectResult.REFUSED)
 
-        def on_checked(reach: Reach) -> None:
+        def on_checked(reach: ConnectResult) -> None:
             # One that does not answer at all may be slow, and its flows live.
-            if reach is not Reach.REFUSED:
+            if reach is not ConnectResult.REFUSED:
                 end(listens=True)
             elif sample:
                 check_packet_port(self.loop, backend, sample, on_packet_checked)
@@ -294,7 +294,7 @@
 
     def _check_host(self, host: str) -> None:
 
-        def on_checked(reach: Reach) -> None:
+        def on_checked(reach: ConnectResult) -> None:
             now = self.loop.clock()
             self.perform(self.balancer.on_host_checked(host, reach, now))
 
--- a/notchhoist/daemon/flow_distances.py
+++ b/notchhoist/daemon/flow_distances.py
@@ -38,7 +38,9 @@
 def _long_for(node: BalancerNode, extra_s: float) -> Iterator[str]:
     """Yields the services for which a distance is long."""
     for service, servers in sorted(node.board.by_service.items()):
-        paces = [item.pace_ms for item in servers if item.pace_ms]
+        paces = [
+            item.service_time_ms for item in servers if item.service_time_ms
+        ]
         pace_s = server_selection.median(paces) / 1000
         if zone_distance.remote_penalty(extra_s, pace_s, 0.0).is_significant:
             yield service
--- a/notchhoist/daemon/flow_journal.py
+++ b/notchhoist/daemon/flow_journal.py
@@ -13,7 +13,7 @@
 from msgspec import Struct, field
 
 from notchhoist.daemon.loop import Clock
-from notchhoist.flows.model.records import FOLLOWED, REASONED
+from notchhoist.flows.model.records import COSTLY_EVENTS, ROUTINE_EVENTS
 
 LINES_A_SECOND = 200
 """Most lines in a second; further ones are counted by kind. A line of 243 bytes
@@ -81,11 +81,11 @@
     def _admits(self, event: str, flow: str) -> bool:
         """Takes a line into the budget, if it has room for it."""
         others = self.others.total()
-        if event in REASONED:
+        if event in COSTLY_EVENTS:
             if self.costly + self.followed + others >= LINES_A_SECOND:
                 return False
             self.costly += 1
-        elif event in FOLLOWED:
+        elif event in ROUTINE_EVENTS:
             room = FLOW_LINES if is_sampled(flow) else ANY_FLOW_LINES
             if self.followed >= room:
                 return False
--- a/notchhoist/daemon/flow_splits.py
+++ b/notchhoist/daemon/flow_splits.py
@@ -26,7 +26,7 @@
         return
     flows, outlived = _tallies(node, now)
     for key, route in table.routes.items():
-        if route.splits or outlived[key]:
+        if route.is_split or outlived[key]:
             yield from _rows(node, route, flows[key], outlived[key])
 
 
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -124,7 +124,9 @@
 
 def _servers(node: BalancerNode, now: float) -> Iterator[Row]:
     for service, servers in node.board.by_service.items():
-        paces = [item.pace_ms for item in servers if item.pace_ms]
+        paces = [
+            item.service_time_ms for item in servers if item.service_time_ms
+        ]
         median_ms = server_selection.median(paces)
         open_to = server_selection.outside_evacuated_zones(
             servers, node.board.view.evacuated
@@ -144,9 +146,9 @@
         "evacuated": states.is_evacuated(board, server),
         "bears_per_s": states.cold_bound_per_s(board, server, now) or None,
         "cold_for_s": round(left_s, 3) if left_s > 0 else 0.0,
-        "full_for_s": max(0.0, round(server.full_until - now, 3)),
+        "full_for_s": max(0.0, round(server.at_cold_bound_until - now, 3)),
         "born_ms": server.entry.born_ms or None,
-        "reborn": server.reborn,
+        "reborn": server.is_restart,
     }
 
 
@@ -179,7 +181,7 @@
         "takes_new_flows": takes_new,
         "flows": server.flows,
         "running": server.running,
-        "pace_ms": server.pace_ms,
+        "pace_ms": server.service_time_ms,
         "counts_as_slots": round(size, 2),
         "load_age_s": _age(now, server.heard_at),
         "suspected": server.suspected,
@@ -269,7 +271,7 @@
         "flows": load.flows,
         "running": load.running,
         "service_ms": round(board.pace_s * 1000, 1),
-        "told_ms": load.pace_ms,
+        "told_ms": load.service_time_ms,
         "failing": round(node.request_gate.answer_times.failing, 3),
         "gone": board.backend_gone,
     } | _told_row(node, now)
@@ -312,7 +314,7 @@
 
 
 def _decision_rows(records: Records) -> Iterator[Row]:
-    for decision in records.reasoned:
+    for decision in records.costly:
         yield {
             "flow": flow_text(decision.flow) if decision.flow else "",
             "event": decision.event,
--- a/notchhoist/daemon/port_check.py
+++ b/notchhoist/daemon/port_check.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from notchhoist.daemon.loop import Loop
-from notchhoist.flows.model.effects import Reach
+from notchhoist.flows.model.effects import ConnectResult
 
 BACKEND_WAIT_S = 0.3
 """A backend server on the same host accepts a connection within this time."""
@@ -25,7 +25,7 @@
     loop: Loop,
     address: tuple[str, int],
     wait_s: float,
-    on_checked: Callable[[Reach], None],
+    on_checked: Callable[[ConnectResult], None],
 ) -> None:
     """Tries to connect once and closes the connection at once.
 
@@ -39,7 +39,7 @@
     sock.setblocking(False)
     at_once = sock.connect_ex(address)
 
-    def end(reach: Reach) -> None:
+    def end(reach: ConnectResult) -> None:
         timer.cancel()
         loop.forget(sock)
         sock.close()
@@ -48,10 +48,10 @@
     def on_connected() -> None:
         end(_reach(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)))
 
-    timer = loop.call_later(wait_s, lambda: end(Reach.SILENT))
+    timer = loop.call_later(wait_s, lambda: end(ConnectResult.SILENT))
     if at_once in _REFUSALS:
         timer.cancel()
-        timer = loop.call_later(0.0, lambda: end(Reach.REFUSED))
+        timer = loop.call_later(0.0, lambda: end(ConnectResult.REFUSED))
     else:
         loop.on_writable(sock, on_connected)
 
@@ -60,7 +60,7 @@
     loop: Loop,
     address: tuple[str, int],
     packet: bytes,
-    on_checked: Callable[[Reach], None],
+    on_checked: Callable[[ConnectResult], None],
 ) -> None:
     """Sends one packet and finds out whether the kernel refuses it.
 
@@ -73,7 +73,7 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
 
-    def end(reach: Reach) -> None:
+    def end(reach: ConnectResult) -> None:
         timer.cancel()
         loop.forget(sock)
         sock.close()
@@ -81,9 +81,13 @@
 
     def on_readable() -> None:
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        end(Reach.REFUSED if error in _REFUSALS else Reach.SILENT)
+        end(
+            ConnectResult.REFUSED
+            if error in _REFUSALS
+            else ConnectResult.SILENT
+        )
 
-    timer = loop.call_later(PACKET_WAIT_S, lambda: end(Reach.SILENT))
+    timer = loop.call_later(PACKET_WAIT_S, lambda: end(ConnectResult.SILENT))
     try:
         sock.connect(address)
         sock.send(packet)
@@ -92,8 +96,8 @@
     loop.on_readable(sock, on_readable)
 
 
-def _reach(error: int) -> Reach:
+def _reach(error: int) -> ConnectResult:
     """Returns what a connection's error number tells."""
     if not error:
-        return Reach.ACCEPTED
-    return Reach.REFUSED if error in _REFUSALS else Reach.SILENT
+        return ConnectResult.ACCEPTED
+    return ConnectResult.REFUSED if error in _REFUSALS else ConnectResult.SILENT
--- a/notchhoist/daemon/tests/test_flow_state.py
+++ b/notchhoist/daemon/tests/test_flow_state.py
@@ -11,8 +11,8 @@
 from notchhoist.flows.model.messages import LoadAsk, ServerState
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.agents import send
-from notchhoist.flows.tests.balancing import open_flow
+from notchhoist.flows.tests.agent_harness import send
+from notchhoist.flows.tests.balancer_harness import open_flow
 from notchhoist.flows.tests.crafting import CODEC, SYN, entry, request
 from notchhoist.links.scheduler import make_scheduler
 
@@ -107,7 +107,7 @@
     node.fleet.tables.on_table(crafting.table(), 1)
     node.fleet.on_listing([(entry(1), 1), (entry(2, "b"), 1)], 1, 0.0)
     near, far = node.board.servers.values()
-    near.pace_ms = far.pace_ms = 15
+    near.service_time_ms = far.service_time_ms = 15
     for number in range(8):
         node.health.distances.add_sample(near, 0.0, 0.0004)
         if number == 0:
--- a/notchhoist/daemon/tests/test_port_check.py
+++ b/notchhoist/daemon/tests/test_port_check.py
@@ -5,7 +5,7 @@
 
 from notchhoist.daemon.loop import Loop
 from notchhoist.daemon.port_check import check_packet_port
-from notchhoist.flows.model.effects import Reach
+from notchhoist.flows.model.effects import ConnectResult
 
 
 def check(address):
@@ -24,6 +24,6 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     address = sock.getsockname()
-    assert check(address) == [Reach.SILENT]
+    assert check(address) == [ConnectResult.SILENT]
     sock.close()
-    assert check(address) == [Reach.REFUSED]
+    assert check(address) == [ConnectResult.REFUSED]
--- a/notchhoist/flows/agent/backend_watch.py
+++ b/notchhoist/flows/agent/backend_watch.py
@@ -5,8 +5,8 @@
 from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.decisions.failure_detection import AnswerTimes
+from notchhoist.flows.model.backend_flows import Phase
 from notchhoist.flows.model.effects import CheckBackend, SendCaller
-from notchhoist.flows.model.held import Phase
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
@@ -58,9 +58,9 @@
         board = self.board
         if not board.uses.resting:
             return b""
-        idle_samples = [held.sample for _, held in board.idle_flows()]
+        idle_samples = [held.last_packet for _, held in board.idle_flows()]
         open_samples = [
-            held.sample
+            held.last_packet
             for flow, held in board.flows.items()
             if held.phase is Phase.OPEN and flow not in board.waiting
         ]
@@ -96,7 +96,7 @@
             return False
         if listens:
             if board.backend_gone:
-                board.records.decide("backend server", b"", "back")
+                board.records.record_decision("backend server", b"", "back")
                 self.request_gate.answer_times = AnswerTimes()
             board.backend_gone = False
             board.refused_since = None
@@ -105,7 +105,7 @@
             return False
         board.backend_gone = True
         board.records.counters[Count.BACKEND_GONE] += 1
-        board.records.decide(
+        board.records.record_decision(
             "backend server", b"", "gone", flows=len(board.flows)
         )
         self._reset_all(now)
@@ -120,7 +120,7 @@
         board = self.board
         if board.refused_since is None:
             board.refused_since = now
-            board.records.decide(
+            board.records.record_decision(
                 "backend server",
                 b"",
                 "refuses connections",
@@ -148,11 +148,11 @@
             if board.uses.resting and board.is_idle(flow, held):
                 continue  # The survey probes the flow at once.
             if held.phase is Phase.OPEN:
-                held.phase = Phase.TRIED
+                held.phase = Phase.UNCONFIRMED
                 held.running_since = None
         self.request_gate.on_backend_restart(now)
         board.records.counters[Count.BACKEND_REBORN] += 1
-        board.records.decide(
+        board.records.record_decision(
             "backend server", b"", "began anew", flows=len(board.flows)
         )
 
@@ -160,14 +160,14 @@
         """Resets and forgets the flows of a server that has exited."""
         board = self.board
         for flow, held in board.flows.items():
-            if held.phase is not Phase.OPEN or held.sample is None:
+            if held.phase is not Phase.OPEN or held.last_packet is None:
                 continue
-            reset = self.codec.make_reset(held.sample)
-            board.outbox.append(SendCaller(held.sample.caller, reset))
+            reset = self.codec.make_reset(held.last_packet)
+            board.outbox.append(SendCaller(held.last_packet.caller, reset))
             board.records.counters[Count.RESETS] += 1
             idle = held.running_since is None
             board.records.counters[Count.RESET_AT_REST] += idle
-            board.records.decide(
+            board.records.record_decision(
                 "reset",
                 flow,
                 "backend server gone",
--- a/notchhoist/flows/agent/flow_lookup.py
+++ b/notchhoist/flows/agent/flow_lookup.py
@@ -4,8 +4,8 @@
 
 from notchhoist.base.errors import CodecError
 from notchhoist.flows.boards.agent_board import AgentBoard
+from notchhoist.flows.model.backend_flows import BackendFlow, Phase
 from notchhoist.flows.model.effects import SendPeer
-from notchhoist.flows.model.held import HeldFlow, Phase
 from notchhoist.flows.model.messages import FlowsAsk, FlowsTell
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.model.records import Count
@@ -19,7 +19,7 @@
 """Outcomes of sample packets are collected for this time and reported together,
 seconds; the backend server returns a packet in less than that."""
 
-_LOCAL_PHASES = (Phase.OPEN, Phase.CLOSED, Phase.TRIED, Phase.REFUSED)
+_LOCAL_PHASES = (Phase.OPEN, Phase.CLOSED, Phase.UNCONFIRMED, Phase.REFUSED)
 
 
 class FlowLookup(Struct, eq=False):
@@ -37,10 +37,10 @@
     absent: dict[str, list[bytes]] = field(default_factory=dict)
     outcomes_due: float = float("inf")
 
-    def is_here(self, held: HeldFlow, segment: Segment) -> bool:
+    def is_here(self, held: BackendFlow, segment: Segment) -> bool:
         """Tells whether a flow is here, judged by a packet of its caller."""
         if held.phase is Phase.ACCEPTED:
-            return held.chosen_by(segment)
+            return held.is_chosen_by(segment)
         return held.phase in _LOCAL_PHASES
 
     def knows_all_flows(self, now: float) -> bool:
@@ -52,7 +52,7 @@
     def presence_of(self, segment: Segment, tag: int, now: float) -> NoteKind:
         """Returns whether a flow is present, absent or unsure."""
         held = self.board.flows.get(segment.flow)
-        unconfirmed = held is not None and held.phase is Phase.TRIED
+        unconfirmed = held is not None and held.phase is Phase.UNCONFIRMED
         if held is not None and not unconfirmed and self.is_here(held, segment):
             return NoteKind.PRESENT
         if tag != self.board.tag or self.knows_all_flows(now):
@@ -74,7 +74,7 @@
             unsure=tuple(flows_by_kind.get(NoteKind.UNSURE, ())),
             flows=load.flows,
             running=load.running,
-            pace_ms=load.pace_ms,
+            pace_ms=load.service_time_ms,
             age_ms=self._age_ms(now) if NoteKind.UNSURE in flows_by_kind else 0,
         )
         self.board.outbox.append(SendPeer(host, answer))
@@ -90,7 +90,7 @@
                 segments.append(self.codec.decode_request(raw))
             except CodecError as error:
                 self.board.records.counters[Count.MALFORMED] += 1
-                self.board.records.decide("malformed", b"", str(error))
+                self.board.records.record_decision("malformed", b"", str(error))
         return segments
 
     def note_absent(self, host: str, flow: bytes, now: float) -> None:
@@ -109,7 +109,7 @@
                 absent=tuple(flows),
                 flows=load.flows,
                 running=load.running,
-                pace_ms=load.pace_ms,
+                pace_ms=load.service_time_ms,
             )
             self.board.outbox.append(SendPeer(host, answer))
         self.absent.clear()
--- a/notchhoist/flows/agent/flow_offers.py
+++ b/notchhoist/flows/agent/flow_offers.py
@@ -8,8 +8,12 @@
 from notchhoist.flows.agent.replies import Replies
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model import notes
+from notchhoist.flows.model.backend_flows import (
+    ENDED_PHASES,
+    BackendFlow,
+    Phase,
+)
 from notchhoist.flows.model.effects import SendBackend
-from notchhoist.flows.model.held import ENDED, HeldFlow, Phase
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
@@ -52,7 +56,7 @@
     free_slots: FreeSlots
     replies: Replies
     watch: BackendWatch
-    offered: dict[bytes, HeldFlow] = field(default_factory=dict)
+    offered: dict[bytes, BackendFlow] = field(default_factory=dict)
     deferred: dict[bytes, DeferredOpening] = field(default_factory=dict)
 
     def on_opening(
@@ -68,7 +72,7 @@
         """
         has_cold_bound = kind is NoteKind.PLACE_BOUNDED
         known = self.board.flows.get(segment.flow)
-        new = known is None or known.phase in ENDED
+        new = known is None or known.phase in ENDED_PHASES
         if new and self.opening_gate.must_defer(has_cold_bound):
             self._defer(host, segment, now)
         elif new and self._must_send_busy(kind, now):
@@ -92,29 +96,33 @@
         """Offers a flow to the backend server or refuses it."""
         board = self.board
         held = board.flows.get(segment.flow)
-        new = held is None or held.phase in ENDED
+        new = held is None or held.phase in ENDED_PHASES
         pause_s = self._pause_s(held, new, has_cold_bound, now)
         if pause_s:
             self._refuse(host, segment, held, pause_s, now)
             return
         if held is None or new:
-            held = HeldFlow(Phase.OFFERED, host, now, now, opening=segment)
+            held = BackendFlow(Phase.OFFERED, host, now, now, opening=segment)
             board.flows[segment.flow] = held
             self.replies.counter.note_offer()
             self.opening_gate.note_opening(now)
-            if not notes.wish_of(segment.note).upload:
+            if not notes.hints_of(segment.note).upload:
                 self.free_slots.reserve(segment.flow, now)
         held.balancer = host
-        if held.wish is None:
-            held.wish = notes.wish_of(segment.note)
-            held.wished_at = now
+        if held.hints is None:
+            held.hints = notes.hints_of(segment.note)
+            held.hints_received_at = now
         if held.phase is Phase.OFFERED:
             held.since = now
             self.offered[segment.flow] = held
         board.outbox.append(SendBackend(self.codec.with_note(segment, 0)))
 
     def _pause_s(
-        self, held: HeldFlow | None, new: bool, has_cold_bound: bool, now: float
+        self,
+        held: BackendFlow | None,
+        new: bool,
+        has_cold_bound: bool,
+        now: float,
     ) -> float:
         """Returns the pause if such a packet is refused, else 0, seconds."""
         opening_gate = self.opening_gate
@@ -133,7 +141,7 @@
         self,
         host: str,
         segment: Segment,
-        held: HeldFlow | None,
+        held: BackendFlow | None,
         pause_s: float,
         now: float,
     ) -> None:
@@ -144,7 +152,7 @@
             self.forget(segment.flow)
         self.replies.send_full(host, segment, pause_s, now)
         state = self.board.state
-        self.board.records.decide(
+        self.board.records.record_decision(
             "turn away",
             segment.flow,
             self.opening_gate.refusal_reason(),
@@ -159,7 +167,9 @@
         self.board.reserved_until.pop(flow, None)
         self.offered.pop(flow, None)
 
-    def on_accepted(self, held: HeldFlow, segment: Segment, now: float) -> None:
+    def on_accepted(
+        self, held: BackendFlow, segment: Segment, now: float
+    ) -> None:
         """Handles the acceptance of a flow by the backend server."""
         self.offered.pop(segment.flow, None)
         held.server_seq = segment.seq
@@ -168,7 +178,7 @@
             held.since = now
         if held.balancer and held.opening is not None:
             self.replies.send_note(
-                held.balancer, NoteKind.TAKEN, held.opening, now
+                held.balancer, NoteKind.ACCEPTED, held.opening, now
             )
 
     def _defer(self, host: str, segment: Segment, now: float) -> None:
@@ -198,7 +208,7 @@
         for held in timed_out:
             self._on_offer_timeout(held, now)
 
-    def _on_offer_timeout(self, held: HeldFlow, now: float) -> None:
+    def _on_offer_timeout(self, held: BackendFlow, now: float) -> None:
         """Returns a flow that the backend server has not accepted in time."""
         segment = held.opening
         if segment is None:
--- a/notchhoist/flows/agent/free_slots.py
+++ b/notchhoist/flows/agent/free_slots.py
@@ -4,7 +4,7 @@
 
 from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
-from notchhoist.flows.model.held import EXPECTED_S
+from notchhoist.flows.model.backend_flows import EXPECTED_REQUEST_S
 
 FAILING_OFFER_INTERVAL_S = 1.0
 """Time between two new flows for a failing server, seconds; they show whether
@@ -34,7 +34,7 @@
 
     def reserve(self, flow: bytes, now: float) -> None:
         """Reserves a slot for the first request of a flow."""
-        self.board.reserved_until[flow] = now + EXPECTED_S
+        self.board.reserved_until[flow] = now + EXPECTED_REQUEST_S
 
     def has_free_slot(self, now: float) -> bool:
         """Tells whether a slot is neither taken, reserved nor waited for.
--- a/notchhoist/flows/agent/idle_survey.py
+++ b/notchhoist/flows/agent/idle_survey.py
@@ -16,8 +16,8 @@
 
 from notchhoist.flows.agent.backend_watch import BackendWatch
 from notchhoist.flows.boards.agent_board import AgentBoard
+from notchhoist.flows.model.backend_flows import BackendFlow
 from notchhoist.flows.model.effects import SendBackend, SendCaller
-from notchhoist.flows.model.held import HeldFlow
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
@@ -89,7 +89,7 @@
         self.heard_at = now
 
     def reset_returned(
-        self, held: HeldFlow, segment: Segment, now: float
+        self, held: BackendFlow, segment: Segment, now: float
     ) -> bool:
         """Resets a flow that its server no longer has; tells whether it did.
 
@@ -104,35 +104,35 @@
         """
         if not self.board.uses.resting or segment.opens:
             return False
-        if not held.was_open_here or held.sample is None:
+        if not held.is_confirmed_open or held.last_packet is None:
             return False
-        reset = self.codec.make_reset(held.sample)
-        self.board.outbox.append(SendCaller(held.sample.caller, reset))
+        reset = self.codec.make_reset(held.last_packet)
+        self.board.outbox.append(SendCaller(held.last_packet.caller, reset))
         self.board.records.counters[Count.RESETS] += 1
         self._note_end(held, segment.flow, "server returned it", now)
         return True
 
-    def on_reset(self, held: HeldFlow, flow: bytes, now: float) -> None:
+    def on_reset(self, held: BackendFlow, flow: bytes, now: float) -> None:
         """Records a flow that the server itself has reset."""
-        if self.board.uses.resting and held.was_open_here:
+        if self.board.uses.resting and held.is_confirmed_open:
             self._note_end(held, flow, "by its server", now)
 
     def _note_end(
-        self, held: HeldFlow, flow: bytes, reason: str, now: float
+        self, held: BackendFlow, flow: bytes, reason: str, now: float
     ) -> None:
         """Records the end of a flow and requests a survey of the others."""
-        was_idle = held.rests_asked
+        was_idle = held.is_idle_since_probe
         records = self.board.records
         if was_idle:
             self.interval_s = SURVEY_INTERVAL_MIN_S
             records.counters[Count.RESET_AT_REST] += 1
-        records.decide(
+        records.record_decision(
             "reset",
             flow,
             reason,
             at_rest=was_idle,
             asked_for=self.reason if was_idle else "",
-            shown_s=round(now - held.shown_at, 3),
+            shown_s=round(now - held.confirmed_open_at, 3),
             used_s=round(now - held.last_at, 3),
         )
         self.survey("a flow ended")
@@ -163,7 +163,7 @@
         idle = self.board.idle_flows()
         if not idle:
             return None
-        return max(idle, key=lambda item: item[1].shown_at)[0]
+        return max(idle, key=lambda item: item[1].confirmed_open_at)[0]
 
     def _begin_survey(self, now: float) -> None:
         self.reason, self.next_reason = self.next_reason, ""
@@ -178,7 +178,9 @@
             return
         self.batch_due = now
         self.board.records.counters[Count.SURVEYS] += 1
-        self.board.records.decide("survey", b"", self.reason, flows=len(idle))
+        self.board.records.record_decision(
+            "survey", b"", self.reason, flows=len(idle)
+        )
 
     def _probe_flows(self, now: float) -> None:
         for _ in range(min(BATCH_SIZE, len(self.flows_to_probe))):
@@ -191,10 +193,10 @@
         held = self.board.flows.get(flow)
         if held is None or not self.board.is_idle(flow, held):
             return
-        packet = held.data or held.sample
+        packet = held.last_data_packet or held.last_packet
         if packet is None:
             return
-        held.asked_at = now
+        held.flow_probed_at = now
         datagram = self.codec.with_note(packet, 0)
         self.board.outbox.append(SendBackend(datagram))
 
--- a/notchhoist/flows/agent/load_counter.py
+++ b/notchhoist/flows/agent/load_counter.py
@@ -4,7 +4,7 @@
 
 from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
-from notchhoist.flows.model.held import EXPECTED_S, Phase
+from notchhoist.flows.model.backend_flows import EXPECTED_REQUEST_S, Phase
 from notchhoist.flows.model.notes import Load
 
 COUNT_INTERVAL_S = 0.01
@@ -47,13 +47,13 @@
         return Load(
             self.cached_load.flows + self.offered_since_count,
             self.cached_load.running + self.offered_since_count,
-            self.cached_load.pace_ms,
+            self.cached_load.service_time_ms,
         )
 
     def _count(self, now: float) -> Load:
         flows = running = 0
         timeout_s = self.request_gate.answer_timeout_s()
-        expected_s = EXPECTED_S if self.board.uses.expected else 0.0
+        expected_s = EXPECTED_REQUEST_S if self.board.uses.expected else 0.0
         for held in self.board.flows.values():
             flows += held.phase in _COUNTED_PHASES
             running += held.is_busy(now, timeout_s, expected_s)
--- a/notchhoist/flows/agent/node.py
+++ b/notchhoist/flows/agent/node.py
@@ -16,16 +16,16 @@
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.decisions.queueing import SlotQueue
 from notchhoist.flows.model import notes
+from notchhoist.flows.model.backend_flows import (
+    CLOSED_KEPT_S,
+    ENDED_PHASES,
+    BackendFlow,
+    Phase,
+)
 from notchhoist.flows.model.effects import (
     Effect,
     SendCaller,
 )
-from notchhoist.flows.model.held import (
-    CLOSED_KEPT_S,
-    ENDED,
-    HeldFlow,
-    Phase,
-)
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
 from notchhoist.flows.model.messages import (
     FlowsAsk,
@@ -97,7 +97,7 @@
         board = self.board
         board.balancers[host] = now
         kind = notes.kind_of(segment.note)
-        if kind is NoteKind.ASK:
+        if kind is NoteKind.QUERY:
             self._answer_lookup(host, segment, now)
         elif notes.tag_of(segment) != board.tag:
             board.records.counters[Count.WRONG_SERVICE] += 1
@@ -124,10 +124,10 @@
             if query.tag != self.board.tag or self.board.backend_gone:
                 self.lookup.note_absent(host, segment.flow, now)
                 continue
-            self.forwarder.forward(host, segment, NoteKind.TRY, now)
+            self.forwarder.forward(host, segment, NoteKind.SAMPLE, now)
             held = self.board.flows.get(segment.flow)
             if held is not None:
-                held.sampled = held.phase is Phase.TRIED
+                held.sampled = held.phase is Phase.UNCONFIRMED
 
     def on_backend(self, segment: Segment, now: float) -> list[Effect]:
         """Handles a packet that the backend server sent or returned."""
@@ -140,17 +140,17 @@
         held = board.flows.get(segment.flow)
         if held is None:
             # The agent has restarted; the answer shows that the flow is open.
-            held = HeldFlow(Phase.OPEN, "", now, now)
+            held = BackendFlow(Phase.OPEN, "", now, now)
             board.flows[segment.flow] = held
         if held.phase is Phase.REFUSED:
             # Retransmissions of an acceptance that must not reach the caller.
             return self._take_effects()
-        held.note_received(segment)
-        held.note_shown(segment, now)
+        held.record_ack(segment)
+        held.record_server_packet(segment, now)
         if segment.accepts:
             self.watch.on_accepted()
             self.offers.on_accepted(held, segment, now)
-        elif held.phase is Phase.TRIED:
+        elif held.phase is Phase.UNCONFIRMED:
             self._on_confirmed(held, now)
         if segment.size or segment.closes:
             # The packet that ends an answer may overtake its data.
@@ -172,18 +172,18 @@
         )
         return self._take_effects()
 
-    def _on_confirmed(self, held: HeldFlow, now: float) -> None:
+    def _on_confirmed(self, held: BackendFlow, now: float) -> None:
         """Reports an unconfirmed flow as present to its balancer."""
         held.phase = Phase.OPEN
-        if held.balancer and held.sample is not None:
+        if held.balancer and held.last_packet is not None:
             self.replies.send_note(
-                held.balancer, NoteKind.PRESENT, held.sample, now
+                held.balancer, NoteKind.PRESENT, held.last_packet, now
             )
 
     def _on_returned(self, segment: Segment, now: float) -> None:
         """Handles a packet that the backend server has returned."""
         held = self.board.flows.pop(segment.flow, None)
-        if held is not None and held.is_young(now):
+        if held is not None and held.is_within_idle_timeout(now):
             # The server held this flow; it has restarted since.
             self.opening_gate.note_backend_restart(now)
         self.offers.offered.pop(segment.flow, None)
@@ -192,7 +192,7 @@
             return
         if not held.balancer:
             return
-        unconfirmed = held.phase is Phase.TRIED
+        unconfirmed = held.phase is Phase.UNCONFIRMED
         if unconfirmed and held.sampled:
             self.lookup.note_absent(held.balancer, segment.flow, now)
             return
@@ -217,12 +217,12 @@
             self.opening_gate.note_backend_restart(now)
         return self._take_effects()
 
-    def _unconfirmed_flows(self) -> list[tuple[bytes, HeldFlow]]:
+    def _unconfirmed_flows(self) -> list[tuple[bytes, BackendFlow]]:
         """Returns unconfirmed flows that a balancer awaits a report of."""
         return [
             (flow, held)
             for flow, held in self.board.flows.items()
-            if held.phase is Phase.TRIED and held.balancer
+            if held.phase is Phase.UNCONFIRMED and held.balancer
         ]
 
     def on_peer(
@@ -268,7 +268,11 @@
             flow
             for flow, held in flows.items()
             if now - held.last_at
-            > (CLOSED_KEPT_S if held.phase in ENDED else IDLE_RETENTION_S)
+            > (
+                CLOSED_KEPT_S
+                if held.phase in ENDED_PHASES
+                else IDLE_RETENTION_S
+            )
         ]
         for flow in forgotten:
             del flows[flow]
--- a/notchhoist/flows/agent/opening_gate.py
+++ b/notchhoist/flows/agent/opening_gate.py
@@ -133,7 +133,7 @@
     def _log_change(
         self, state: ServerState, outcome: str, event: str = "zone"
     ) -> None:
-        self.board.records.decide(
+        self.board.records.record_decision(
             event,
             b"",
             outcome,
--- a/notchhoist/flows/agent/packet_forwarder.py
+++ b/notchhoist/flows/agent/packet_forwarder.py
@@ -10,8 +10,8 @@
 from notchhoist.flows.agent.request_gate import RequestGate
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.model import notes
+from notchhoist.flows.model.backend_flows import BackendFlow, Phase
 from notchhoist.flows.model.effects import SendBackend
-from notchhoist.flows.model.held import HeldFlow, Phase
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.segments import Segment, SegmentCodec
 
@@ -47,25 +47,25 @@
         Args:
             host: Host of the balancer.
             segment: The packet.
-            kind: ``TRY`` where the balancer does not know whether the flow is
-                here.
+            kind: ``SAMPLE`` where the balancer does not know whether the flow
+                is here.
             now: Runtime clock, seconds.
         """
         board = self.board
         held = board.flows.get(segment.flow)
         if held is None or not self.lookup.is_here(held, segment):
             if held is not None or (
-                kind is not NoteKind.TRY and self.lookup.knows_all_flows(now)
+                kind is not NoteKind.SAMPLE and self.lookup.knows_all_flows(now)
             ):
                 self.replies.return_packet(host, segment, "flow not here", now)
                 return
-            held = HeldFlow(Phase.TRIED, host, now, now)
+            held = BackendFlow(Phase.UNCONFIRMED, host, now, now)
             board.flows[segment.flow] = held
         if held.phase is Phase.REFUSED:
             held.last_at = now
             self.refuser.reset_unopened(segment)
             return
-        if held.phase is Phase.TRIED:
+        if held.phase is Phase.UNCONFIRMED:
             # Only the backend server knows whether the flow is here. If it has
             # exited no answer comes, so its liveness is checked.
             self.watch.schedule_check(now)
@@ -76,28 +76,30 @@
         if opening and self.opening_gate.is_past_evacuation_cutoff(now):
             held.phase = Phase.REFUSED
             self.refuser.reset_unopened(segment)
-            board.records.decide("reset", segment.flow, "zone evacuated")
+            board.records.record_decision(
+                "reset", segment.flow, "zone evacuated"
+            )
             return
         self._update_held(held, host, segment, now)
-        wish = notes.wish_of(segment.note)
+        wish = notes.hints_of(segment.note)
         first = opening or held.request_end is None
         if first and self.board.uses.opening_wish:
-            wish = held.wish_now(wish, now)
+            wish = held.hints_at(wish, now)
         self.request_gate.admit(held, segment, wish, opening, now)
 
     def _update_held(
-        self, held: HeldFlow, host: str, segment: Segment, now: float
+        self, held: BackendFlow, host: str, segment: Segment, now: float
     ) -> None:
         held.balancer = host
         held.last_at = now
-        held.sample = segment
+        held.last_packet = segment
         if segment.size:
-            held.data = segment
+            held.last_data_packet = segment
         if held.phase is Phase.ACCEPTED:
             held.phase = Phase.OPEN
             held.since = now
             held.opening = None
-        if segment.size and held.is_copy(segment, now):
+        if segment.size and held.is_retransmission(segment, now):
             # A retransmission: the server may not have received the first.
             self.watch.schedule_check(now)
         if segment.resets:
--- a/notchhoist/flows/agent/refuser.py
+++ b/notchhoist/flows/agent/refuser.py
@@ -5,8 +5,8 @@
 from notchhoist.flows.boards.agent_board import AgentBoard
 from notchhoist.flows.decisions.queued_requests import QueuedRequest
 from notchhoist.flows.model import notes
+from notchhoist.flows.model.backend_flows import Phase
 from notchhoist.flows.model.effects import SendBalancer, SendCaller
-from notchhoist.flows.model.held import Phase
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.model.records import Count
 from notchhoist.flows.model.segments import Segment, SegmentCodec
@@ -45,9 +45,9 @@
         load = Load(len(board.flows), len(board.waiting) + len(board.active))
         note = notes.to_balancer(NoteKind.REFUSED, load)
         segment = request.segments[-1]
-        datagram = self.codec.head_with_note(segment, note)
+        datagram = self.codec.header_with_note(segment, note)
         board.outbox.append(SendBalancer(request.held.balancer, datagram))
-        board.records.decide(
+        board.records.record_decision(
             "refuse",
             request.flow,
             reason,
@@ -66,7 +66,7 @@
         board.records.counters[Count.CALLERS_LEFT] += 1
         request.held.phase = Phase.REFUSED
         self.reset_unopened(segment)
-        board.records.decide(
+        board.records.record_decision(
             "reset",
             request.flow,
             "caller left",
--- a/notchhoist/flows/agent/replies.py
+++ b/notchhoist/flows/agent/replies.py
@@ -30,7 +30,7 @@
     ) -> None:
         """Sends a note about the flow of a packet, with the packet's header."""
         note = notes.to_balancer(kind, self.counter.load(now))
-        datagram = self.codec.head_with_note(segment, note)
+        datagram = self.codec.header_with_note(segment, note)
         self.board.outbox.append(SendBalancer(host, datagram))
 
     def return_packet(
@@ -52,7 +52,7 @@
         self.board.outbox.append(SendBalancer(host, datagram))
         self.board.records.counters[Count.RETURNED] += 1
         if reason:
-            self.board.records.decide(
+            self.board.records.record_decision(
                 "give back", segment.flow, kind.name.lower(), reason=reason
             )
 
@@ -60,7 +60,7 @@
         self, host: str, segment: Segment, pause_s: float, now: float
     ) -> None:
         """Returns an opening packet with the pause until the next may come."""
-        note = notes.full(self.counter.load(now), pause_s)
+        note = notes.at_cold_bound(self.counter.load(now), pause_s)
         datagram = self.codec.with_note(segment, note)
         self.board.outbox.append(SendBalancer(host, datagram))
         self.board.records.counters[Count.TURNED_AWAY] += 1
@@ -79,7 +79,7 @@
         message = LoadTell(
             load.flows,
             load.running,
-            load.pace_ms,
+            load.service_time_ms,
             self.board.stopping,
             state.revision if state else 0,
         )
--- a/notchhoist/flows/agent/request_gate.py
+++ b/notchhoist/flows/agent/request_gate.py
@@ -7,17 +7,17 @@
 from notchhoist.flows.decisions.failure_detection import AnswerTimes
 from notchhoist.flows.decisions.queued_requests import QueuedRequest
 from notchhoist.flows.decisions.queueing import SlotQueue, unservable
-from notchhoist.flows.model.effects import SendBackend
-from notchhoist.flows.model.held import (
-    PACE_GAIN,
-    STUCK_PACES,
-    STUCK_S,
-    HeldFlow,
+from notchhoist.flows.model.backend_flows import (
+    SERVICE_TIME_GAIN,
+    STALLED_REQUEST_S,
+    STALLED_REQUEST_SERVICE_TIMES,
+    BackendFlow,
     Phase,
 )
+from notchhoist.flows.model.effects import SendBackend
 from notchhoist.flows.model.records import Count, Timing
+from notchhoist.flows.model.request_hints import RequestHints
 from notchhoist.flows.model.segments import Segment, SegmentCodec
-from notchhoist.flows.model.wishes import Wish
 
 DEFAULT_SERVICE_TIME_S = 0.05
 """Assumed service time before the first answer, seconds. Current deployments
@@ -34,8 +34,8 @@
 
 ABANDONED_MIN_S = 0.5
 """A request that ends unanswered counts as failed if it took longer than this,
-seconds, and than ``STUCK_PACES`` service times. It is twice the latency
-objectives of current deployments."""
+seconds, and than ``STALLED_REQUEST_SERVICE_TIMES`` service times. It is twice
+the latency objectives of current deployments."""
 
 
 class RequestGate(Struct, eq=False):
@@ -59,9 +59,9 @@
 
     def admit(
         self,
-        held: HeldFlow,
+        held: BackendFlow,
         segment: Segment,
-        wish: Wish,
+        wish: RequestHints,
         opening: bool,
         now: float,
     ) -> None:
@@ -87,7 +87,7 @@
             if segment.size or segment.closes or waiting.unopened:
                 waiting.add(segment)
                 return
-        elif opening or (segment.size and held.is_new(segment)):
+        elif opening or (segment.size and held.is_new_data(segment)):
             if held.running_since is None and not wish.upload:
                 self.queue.note_arrival(wish, now)
             if held.running_since is None and self._must_queue(wish):
@@ -103,7 +103,7 @@
             segment, now
         )
 
-    def _must_queue(self, wish: Wish) -> bool:
+    def _must_queue(self, wish: RequestHints) -> bool:
         board = self.board
         if wish.upload or not board.slots or not board.uses.holding:
             return False
@@ -111,9 +111,9 @@
 
     def _enqueue(
         self,
-        held: HeldFlow,
+        held: BackendFlow,
         segment: Segment,
-        wish: Wish,
+        wish: RequestHints,
         opening: bool,
         now: float,
     ) -> None:
@@ -131,11 +131,15 @@
         self.board.records.counters[Count.HELD] += 1
 
     def _start_request(
-        self, held: HeldFlow, segment: Segment, wish: Wish, now: float
+        self,
+        held: BackendFlow,
+        segment: Segment,
+        wish: RequestHints,
+        now: float,
     ) -> None:
         if not segment.size:
             return
-        held.note_request(segment, now)
+        held.record_request(segment, now)
         if not wish.upload:
             self.board.active.add(segment.flow)
 
@@ -143,10 +147,12 @@
         datagram = self.codec.with_note(segment, 0)
         self.board.outbox.append(SendBackend(datagram))
 
-    def on_answer(self, segment: Segment, held: HeldFlow, now: float) -> None:
+    def on_answer(
+        self, segment: Segment, held: BackendFlow, now: float
+    ) -> None:
         """Records an answer and gives the slot to the next request."""
         flow = segment.flow
-        elapsed = held.note_answer(now)
+        elapsed = held.record_answer(now)
         if elapsed is None:
             return
         board = self.board
@@ -162,26 +168,28 @@
     def _update_service_time(self, elapsed: float) -> None:
         board = self.board
         if board.pace_s:
-            board.pace_s += PACE_GAIN * (elapsed - board.pace_s)
+            board.pace_s += SERVICE_TIME_GAIN * (elapsed - board.pace_s)
         else:
             board.pace_s = elapsed
 
-    def on_reset(self, held: HeldFlow) -> None:
+    def on_reset(self, held: BackendFlow) -> None:
         """Records a flow that the server has reset."""
         # Data that crosses the end of a flow by its server is reset, too.
         self._note_failed(held, by_reset=held.phase is not Phase.CLOSED)
 
-    def _note_failed(self, held: HeldFlow, by_reset: bool = False) -> None:
+    def _note_failed(self, held: BackendFlow, by_reset: bool = False) -> None:
         """Records the failure of a request that is still unanswered."""
         if held.running_since is not None:
             self.answer_times.note_failure(by_reset)
             self.board.records.counters[Count.REQUESTS_BROKEN] += 1
             self._log_failing()
 
-    def _note_abandoned(self, held: HeldFlow, now: float) -> None:
+    def _note_abandoned(self, held: BackendFlow, now: float) -> None:
         """Records a failure if a request was unanswered unusually long."""
         waited_s = now - held.request_at
-        failed_after_s = max(ABANDONED_MIN_S, STUCK_PACES * self.board.pace_s)
+        failed_after_s = max(
+            ABANDONED_MIN_S, STALLED_REQUEST_SERVICE_TIMES * self.board.pace_s
+        )
         if held.running_since is not None and waited_s > failed_after_s:
             self._note_failed(held)
 
@@ -207,7 +215,7 @@
         change = self.answer_times.pop_state_change()
         if change:
             share = round(self.answer_times.failing, 3)
-            self.board.records.decide(
+            self.board.records.record_decision(
                 "backend server",
                 b"",
                 change,
@@ -242,12 +250,12 @@
         board = self.board
         del board.waiting[request.flow]
         board.observe_wait(request, outcome, now)
-        board.records.decide(
+        board.records.record_decision(
             "release",
             request.flow,
             outcome,
             waited_s=round(now - request.arrived_at, 3),
-            age_s=request.wish.age_s,
+            age_s=request.wish.waited_s,
             left_s=round(request.expires_at - now, 3),
             objective_s=request.wish.objective_s,
             pace_s=round(board.pace_s, 3),
@@ -313,7 +321,9 @@
 
     def answer_timeout_s(self) -> float:
         """Returns how long a request may hold its slot, seconds."""
-        return max(STUCK_S, STUCK_PACES * self.board.pace_s)
+        return max(
+            STALLED_REQUEST_S, STALLED_REQUEST_SERVICE_TIMES * self.board.pace_s
+        )
 
     def due(self) -> float:
         """Returns when ``tick`` is next needed, seconds."""
--- a/notchhoist/flows/agent/tests/test_agent.py
+++ b/notchhoist/flows/agent/tests/test_agent.py
@@ -12,16 +12,16 @@
 from notchhoist.flows.model.messages import FlowsAsk, LoadAsk, ServerState
 from notchhoist.flows.model.notes import NoteKind, service_tag
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.agents import (
+from notchhoist.flows.tests.agent_harness import (
     BALANCER,
     SERVER_SEQ,
     START,
     TAG,
     accept,
     agent,
-    ask,
-    reply,
     send,
+    send_answer,
+    send_request,
     to_backend,
     to_balancer,
 )
@@ -38,7 +38,7 @@
 def test_new_flow_is_offered_and_its_acceptance_reported():
     node = agent()
     effects = accept(node, 1)
-    assert to_balancer(effects) == [NoteKind.TAKEN]
+    assert to_balancer(effects) == [NoteKind.ACCEPTED]
     assert [type(item) for item in effects].count(SendCaller) == 1
 
 
@@ -68,7 +68,7 @@
     accept(node, 1)
     first = request(seq=1, data=b"x" * 1200, port=1, ack=SERVER_SEQ + 1)
     second = request(seq=1201, data=b"y" * 300, port=1, ack=SERVER_SEQ + 1)
-    send(node, second, NoteKind.HELD, START + 0.01)
+    send(node, second, NoteKind.FORWARD, START + 0.01)
     return first
 
 
@@ -80,7 +80,7 @@
     """
     node = agent()
     first = open_with_reordered_request(node)
-    effects = send(node, first, NoteKind.HELD, START + 0.011)
+    effects = send(node, first, NoteKind.FORWARD, START + 0.011)
     assert to_backend(effects)
     assert not has_check(node.tick(START + 0.02))
 
@@ -88,13 +88,13 @@
 def test_retransmission_triggers_a_liveness_check():
     node = agent()
     first = open_with_reordered_request(node)
-    send(node, first, NoteKind.HELD, START + 0.011)
-    send(node, first, NoteKind.HELD, START + 0.211)
+    send(node, first, NoteKind.FORWARD, START + 0.011)
+    send(node, first, NoteKind.FORWARD, START + 0.211)
     assert has_check(node.tick(START + 0.22))
 
 
 def test_unknown_flow_is_returned_by_an_agent_that_knows_all_flows():
-    effects = send(agent(), request(data=b"x"), NoteKind.HELD)
+    effects = send(agent(), request(data=b"x"), NoteKind.FORWARD)
     assert to_balancer(effects) == [NoteKind.RETURNED]
     assert not to_backend(effects)
 
@@ -102,7 +102,7 @@
 def test_restarted_agent_forwards_packets_of_unknown_flows():
     node = agent(known=False)
     data = request(data=b"x")
-    assert to_backend(send(node, data, NoteKind.HELD))
+    assert to_backend(send(node, data, NoteKind.FORWARD))
     effects = node.on_backend(crafting.bounced(data), START + 0.001)
     assert to_balancer(effects) == [NoteKind.RETURNED]
 
@@ -114,17 +114,17 @@
     """
     node = agent(known=False)
     lost = request(data=b"x", ack=77)
-    send(node, lost, NoteKind.TRY)
-    assert to_balancer(send(node, lost, NoteKind.ASK)) == [NoteKind.UNSURE]
+    send(node, lost, NoteKind.SAMPLE)
+    assert to_balancer(send(node, lost, NoteKind.QUERY)) == [NoteKind.UNSURE]
     effects = node.on_backend(answer(data=b"y", ack=1), START + 0.05)
     assert to_balancer(effects) == [NoteKind.PRESENT]
-    assert to_balancer(send(node, lost, NoteKind.ASK)) == [NoteKind.PRESENT]
+    assert to_balancer(send(node, lost, NoteKind.QUERY)) == [NoteKind.PRESENT]
 
 
 def test_returned_packet_is_unchanged_for_another_server():
     node = agent(known=False)
     data = request(data=b"x")
-    send(node, data, NoteKind.HELD)
+    send(node, data, NoteKind.FORWARD)
     [effect] = [
         item
         for item in node.on_backend(crafting.bounced(data), START)
@@ -137,26 +137,26 @@
     node = agent()
     accept(node, 1)
     elsewhere = request(data=b"x", ack=SERVER_SEQ + (1 << 30), port=1)
-    effects = send(node, elsewhere, NoteKind.HELD)
+    effects = send(node, elsewhere, NoteKind.FORWARD)
     assert to_balancer(effects) == [NoteKind.RETURNED]
 
 
 def test_answers_to_a_search_for_a_flow():
     node = agent()
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     for port, kind in ((1, NoteKind.PRESENT), (2, NoteKind.ABSENT)):
         segment = request(port=port, ack=SERVER_SEQ + 1)
-        assert to_balancer(send(node, segment, NoteKind.ASK)) == [kind]
+        assert to_balancer(send(node, segment, NoteKind.QUERY)) == [kind]
     unsure = agent(known=False)
-    effects = send(unsure, request(port=2), NoteKind.ASK)
+    effects = send(unsure, request(port=2), NoteKind.QUERY)
     assert to_balancer(effects) == [NoteKind.UNSURE]
 
 
 def test_exited_server_has_its_flows_reset_at_once():
     node = agent()
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     effects = node.on_backend_checked(False, START + 1)
     assert [type(item) for item in effects] == [SendCaller]
     refused = send(node, request(flags=SYN, port=2), NoteKind.PLACE, START + 1)
@@ -166,18 +166,18 @@
 def test_packets_of_a_closing_flow_are_still_forwarded():
     node = agent()
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     node.on_backend(answer(flags=FIN | ACK, port=1), START)
     last = request(flags=FIN | ACK, ack=SERVER_SEQ + 2, port=1, seq=10)
-    assert to_backend(send(node, last, NoteKind.HELD))
+    assert to_backend(send(node, last, NoteKind.FORWARD))
 
 
 def test_load_counts_open_flows_and_unanswered_requests():
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
-    ask(node, 1)
-    ask(node, 2)
+    send_request(node, 1)
+    send_request(node, 2)
     load = node.load(START + 1)
     assert (load.flows, load.running) == (2, 2)
 
@@ -189,10 +189,10 @@
     """
     node = agent(slots=3)
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     end = answer(flags=FIN | ACK, seq=SERVER_SEQ + 2, ack=10, port=1)
     node.on_backend(end, START + 0.08)
-    reply(node, 1, START + 0.081)
+    send_answer(node, 1, START + 0.081)
     assert node.board.pace_s == pytest.approx(0.08)
     assert not node.board.active
 
@@ -228,7 +228,7 @@
     all agents.
     """
     node = make_agent(crafting.SERVICE, CODEC, START, knows_all_flows=True)
-    effects = send(node, request(data=b"x"), NoteKind.ASK)
+    effects = send(node, request(data=b"x"), NoteKind.QUERY)
     assert to_balancer(effects) == [NoteKind.ABSENT]
 
 
@@ -261,11 +261,11 @@
     query = LoadAsk(2, ServerState(revision=7, draining=draining))
     node.on_peer(BALANCER, query, START)
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     effects = node.on_backend_checked(False, START + 1.0)
     resets = [item for item in effects if isinstance(item, SendCaller)]
     assert len(resets) == (0 if draining else 1)
     assert bool(node.board.flows) is draining
     more = request(data=b"more", seq=10, ack=SERVER_SEQ + 1, port=1)
-    sent = to_backend(send(node, more, NoteKind.HELD, START + 1.1))
+    sent = to_backend(send(node, more, NoteKind.FORWARD, START + 1.1))
     assert bool(sent) is draining
--- a/notchhoist/flows/agent/tests/test_flow_offers.py
+++ b/notchhoist/flows/agent/tests/test_flow_offers.py
@@ -9,12 +9,12 @@
 from notchhoist.flows.model.messages import LoadAsk, LoadTell, ServerState
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.agents import (
+from notchhoist.flows.tests.agent_harness import (
     BALANCER,
     START,
     accept,
-    ask,
     send,
+    send_request,
     to_backend,
     to_balancer,
 )
@@ -39,18 +39,18 @@
 def pause_of(effects):
     [back] = [item for item in effects if isinstance(item, SendBalancer)]
     note = CODEC.decode_request(back.datagram).note
-    assert notes.kind_of(note) is NoteKind.FULL
+    assert notes.kind_of(note) is NoteKind.AT_COLD_BOUND
     return notes.pause_of(note)
 
 
 def test_evacuated_zone_gets_no_new_flow_and_keeps_open_ones():
     node = agent()
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     report_state(node, evacuated=True)
     assert pause_of(offer_flow(node, 2)) > 0
     more = request(data=b"more", seq=10, ack=5001, port=1)
-    assert to_backend(send(node, more, NoteKind.HELD))
+    assert to_backend(send(node, more, NoteKind.FORWARD))
 
 
 def test_older_report_does_not_end_an_evacuation():
@@ -75,8 +75,8 @@
     accept(node, 2)
     accept(node, 3)
     report_state(node, evacuated=True, evacuated_for_s=1.0)
-    assert to_backend(ask(node, 2, START + 0.1))
-    assert not to_backend(ask(node, 3, START + 2.0))
+    assert to_backend(send_request(node, 2, START + 0.1))
+    assert not to_backend(send_request(node, 3, START + 2.0))
 
 
 def test_queued_request_is_refused_after_the_evacuation_cutoff():
@@ -84,7 +84,7 @@
     report_state(node, slots=1)
     for port in (1, 2):
         accept(node, port)
-        ask(node, port)
+        send_request(node, port)
     assert len(node.board.waiting) == 1
     report_state(node, START, revision=8, evacuated=True)
     node.tick(START + 0.1)
@@ -137,7 +137,7 @@
         offer_flow(node, port + 1, kind=NoteKind.PLACE_BOUNDED)
     effects = node.tick(START + DEFER_MAX_S)
     assert len(to_backend(effects)) == 4
-    assert to_balancer(effects) == [NoteKind.FULL] * 6
+    assert to_balancer(effects) == [NoteKind.AT_COLD_BOUND] * 6
 
 
 def test_agent_without_state_offers_a_flow_without_a_cold_bound():
@@ -149,7 +149,7 @@
     node = agent()
     report_state(node, born_ms=1, bound_per_s=1.0, bound_lasts_s=2.0)
     accept(node, 1, START - 3.0)
-    ask(node, 1, START - 3.0)
+    send_request(node, 1, START - 3.0)
     if noticed == "told":
         report_state(
             node, revision=8, born_ms=2, bound_per_s=1.0, bound_lasts_s=2.0
@@ -172,13 +172,13 @@
     report_state(node, born_ms=1, slots=1)
     for port in (1, 2):
         accept(node, port)
-        ask(node, port)
+        send_request(node, port)
     assert (len(node.board.active), len(node.board.waiting)) == (1, 1)
     effects = report_state(node, revision=8, born_ms=2)
     assert NoteKind.REFUSED in to_balancer(effects)
     assert not node.board.active
     more = request(data=b"more", seq=10, ack=5001, port=1)
-    assert to_backend(send(node, more, NoteKind.HELD))
+    assert to_backend(send(node, more, NoteKind.FORWARD))
     back = bounced(request(data=b"more", seq=10, ack=5001, port=1))
     assert to_balancer(node.on_backend(back, START)) == [NoteKind.RETURNED]
 
--- a/notchhoist/flows/agent/tests/test_free_slots.py
+++ b/notchhoist/flows/agent/tests/test_free_slots.py
@@ -1,19 +1,19 @@
 """Tests of conditional offers: a new flow is taken only if a slot is free."""
 
 from notchhoist.flows.model import notes
+from notchhoist.flows.model.backend_flows import EXPECTED_REQUEST_S
 from notchhoist.flows.model.effects import SendBalancer
-from notchhoist.flows.model.held import EXPECTED_S
 from notchhoist.flows.model.messages import LoadAsk, ServerState
 from notchhoist.flows.model.notes import NoteKind
-from notchhoist.flows.model.wishes import Wish
-from notchhoist.flows.tests.agents import (
+from notchhoist.flows.model.request_hints import RequestHints
+from notchhoist.flows.tests.agent_harness import (
     BALANCER,
     START,
     accept,
     agent,
-    ask,
-    reply,
     send,
+    send_answer,
+    send_request,
     to_backend,
     to_balancer,
 )
@@ -27,7 +27,7 @@
 def test_server_without_a_free_slot_gets_no_conditional_offer():
     node = agent(slots=1)
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     effects = offer(node, 2)
     assert to_balancer(effects) == [NoteKind.BUSY]
     assert not to_backend(effects)
@@ -37,7 +37,7 @@
 def test_returned_packet_reports_the_current_load():
     node = agent(slots=1)
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     [back] = [e for e in offer(node, 2) if isinstance(e, SendBalancer)]
     load = notes.load_of(CODEC.decode_request(back.datagram).note)
     assert load.running == 1
@@ -46,8 +46,8 @@
 def test_slot_is_free_again_after_the_answer():
     node = agent(slots=1)
     accept(node, 1)
-    ask(node, 1)
-    reply(node, 1, START + 0.02)
+    send_request(node, 1)
+    send_answer(node, 1, START + 0.02)
     assert to_backend(offer(node, 2, START + 0.02))
 
 
@@ -60,8 +60,8 @@
 def test_reservation_expires_if_the_caller_chose_another_server():
     node = agent(slots=1)
     accept(node, 1)
-    assert not to_backend(offer(node, 2, START + EXPECTED_S / 2))
-    assert to_backend(offer(node, 2, START + EXPECTED_S + 0.01))
+    assert not to_backend(offer(node, 2, START + EXPECTED_REQUEST_S / 2))
+    assert to_backend(offer(node, 2, START + EXPECTED_REQUEST_S + 0.01))
 
 
 def test_reservation_ends_when_the_server_returns_the_flow():
@@ -99,7 +99,7 @@
 
 def test_upload_takes_no_slot():
     node = agent(slots=1)
-    offer(node, 1, kind=NoteKind.PLACE, wish=Wish(upload=True))
+    offer(node, 1, kind=NoteKind.PLACE, wish=RequestHints(upload=True))
     assert to_backend(offer(node, 2))
 
 
@@ -112,7 +112,7 @@
 def test_evacuated_server_reports_full_instead_of_busy():
     node = agent(slots=1)
     node.on_peer(BALANCER, LoadAsk(1, ServerState(9, evacuated=True)), START)
-    assert to_balancer(offer(node, 1)) == [NoteKind.FULL]
+    assert to_balancer(offer(node, 1)) == [NoteKind.AT_COLD_BOUND]
 
 
 def test_conditional_offer_differs_from_others_in_its_kind_only():
@@ -120,7 +120,9 @@
 
     Such an agent reads the kind by its number and ignores unknown kinds.
     """
-    wish = Wish(objective_s=0.225, age_s=0.2, priority=1, left_s=2.3)
+    wish = RequestHints(
+        objective_s=0.225, waited_s=0.2, priority=1, remaining_s=2.3
+    )
     ordinary = notes.to_agent(NoteKind.PLACE, 7, wish)
     if_free = notes.to_agent(NoteKind.PLACE_IF_FREE, 7, wish)
     kinds = NoteKind.PLACE ^ NoteKind.PLACE_IF_FREE
--- a/notchhoist/flows/agent/tests/test_idle_survey.py
+++ b/notchhoist/flows/agent/tests/test_idle_survey.py
@@ -13,15 +13,15 @@
 from notchhoist.flows.model.effects import CheckBackend, SendCaller
 from notchhoist.flows.model.messages import LoadAsk, ServerState
 from notchhoist.flows.model.notes import NoteKind
-from notchhoist.flows.tests.agents import (
+from notchhoist.flows.tests.agent_harness import (
     BALANCER,
     SERVER_SEQ,
     START,
     accept,
     agent,
-    ask,
-    reply,
     send,
+    send_answer,
+    send_request,
     to_backend,
     to_balancer,
 )
@@ -44,8 +44,8 @@
     node = agent(**fields)
     for port in ports:
         accept(node, port)
-        ask(node, port)
-        reply(node, port)
+        send_request(node, port)
+        send_answer(node, port)
     return node
 
 
@@ -70,9 +70,9 @@
 
 def sample_of(node, port):
     [sample] = [
-        held.sample
+        held.last_packet
         for held in node.board.flows.values()
-        if held.sample.flow[4:6] == port.to_bytes(2, "big")
+        if held.last_packet.flow[4:6] == port.to_bytes(2, "big")
     ]
     return sample
 
@@ -84,21 +84,21 @@
     flows were not reset.
     """
     node = agent_with_idle_flows([1, 2, 3])
-    send(node, NEXT_REQUEST, NoteKind.HELD, LATER)
+    send(node, NEXT_REQUEST, NoteKind.FORWARD, LATER)
     assert reset_ports(node.on_backend(bounced(NEXT_REQUEST), LATER)) == [1]
     asked = to_backend(node.tick(LATER))
     assert sorted(ports_of(asked)) == [2, 3]
     returned = bounced(sample_of(node, 2))
     assert reset_ports(node.on_backend(returned, LATER)) == [2]
     more = request(data=b"m", seq=10, ack=SERVER_SEQ + 2, port=3)
-    assert to_backend(send(node, more, NoteKind.HELD, LATER))
+    assert to_backend(send(node, more, NoteKind.FORWARD, LATER))
     assert node.board.records.counters["reset_at_rest"] == 1
 
 
 def test_flow_that_the_server_never_showed_is_returned_not_reset():
     node = agent()
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     effects = node.on_backend(bounced(NEXT_REQUEST), LATER)
     assert not reset_ports(effects)
     assert to_balancer(effects) == [NoteKind.RETURNED]
@@ -124,8 +124,8 @@
 
 def test_flow_with_a_queued_request_gets_no_flow_probe():
     node = agent_with_idle_flows([1, 2], slots=1)
-    ask(node, 1, LATER, seq=10)
-    ask(node, 2, LATER, seq=10)
+    send_request(node, 1, LATER, seq=10)
+    send_request(node, 2, LATER, seq=10)
     assert len(node.board.waiting) == 1
     node.idle_survey.survey("test")
     assert ports_of(to_backend(node.tick(LATER))) == [1]
@@ -144,7 +144,7 @@
 
 def test_server_that_is_heard_or_has_no_flows_is_not_checked():
     node = agent_with_idle_flows([1])
-    reply(node, 1, START + 0.9)
+    send_answer(node, 1, START + 0.9)
     assert not checks(node.tick(START + SILENCE_CHECK_S + 0.5))
     assert not checks(agent().tick(START + 10.0))
 
@@ -230,8 +230,8 @@
     assert not reset_ports(node.on_backend_checked(False, LATER, ended=False))
     later = LATER + 2 * UNANNOUNCED_DRAIN_S
     accept(node, 2, later)
-    ask(node, 2, later)
-    reply(node, 2, later)
+    send_request(node, 2, later)
+    send_answer(node, 2, later)
     assert not reset_ports(
         node.on_backend_checked(False, later + 0.1, ended=False)
     )
@@ -245,10 +245,10 @@
     """Guards against resets: a draining server refuses connections, too."""
     node = agent()
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     node.watch.schedule_check(LATER)
     [check] = checks(node.tick(LATER))
-    sample = CODEC.decode_request(check.sample)
+    sample = CODEC.decode_request(check.packet)
     assert not sample.opens
     assert sample.size == 9
     assert not reset_ports(node.on_backend_checked(False, LATER, ended=False))
@@ -258,11 +258,11 @@
     node = agent(slots=1)
     for port in (1, 2):
         accept(node, port)
-        ask(node, port)
+        send_request(node, port)
     [waiting] = node.board.waiting
     node.watch.schedule_check(LATER)
     [check] = checks(node.tick(LATER))
-    assert CODEC.decode_request(check.sample).flow != waiting
+    assert CODEC.decode_request(check.packet).flow != waiting
 
 
 def test_stopping_agent_waits_until_a_draining_server_exits():
--- a/notchhoist/flows/agent/tests/test_leaving.py
+++ b/notchhoist/flows/agent/tests/test_leaving.py
@@ -10,11 +10,11 @@
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.revisions import make_revision
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.agents import (
+from notchhoist.flows.tests.agent_harness import (
     START,
     accept,
-    ask,
     send,
+    send_request,
     to_backend,
 )
 from notchhoist.flows.tests.crafting import CODEC, request
@@ -42,10 +42,10 @@
 def test_open_flows_of_a_draining_server_continue():
     node = agent()
     accept(node, 1)
-    ask(node, 1)
+    send_request(node, 1)
     report_state(node, draining=True)
     more = request(data=b"more", seq=10, ack=5001, port=1)
-    assert to_backend(send(node, more, NoteKind.HELD, CUTOFF + 1.0))
+    assert to_backend(send(node, more, NoteKind.FORWARD, CUTOFF + 1.0))
 
 
 def test_drain_time_counts_from_the_first_report():
--- a/notchhoist/flows/balancer/accepting.py
+++ b/notchhoist/flows/balancer/accepting.py
@@ -92,4 +92,4 @@
             return
         server = self.board.servers.get(opening.tried[-1])
         if server is not None:
-            server.note_offer_ended()
+            server.record_offer_end()
--- a/notchhoist/flows/balancer/flow_queries.py
+++ b/notchhoist/flows/balancer/flow_queries.py
@@ -82,7 +82,7 @@
         self, hosts: Iterable[str], tag: int, segment: Segment, now: float
     ) -> None:
         """Queries agents whether their servers hold the flow of a packet."""
-        header = self.codec.head_with_note(segment, 0)
+        header = self.codec.header_with_note(segment, 0)
         for host in hosts:
             queue = self._queue_of(host, tag)
             queue.headers[segment.flow] = header
--- a/notchhoist/flows/balancer/forwarding.py
+++ b/notchhoist/flows/balancer/forwarding.py
@@ -8,8 +8,8 @@
 from notchhoist.flows.model.effects import SendAgent
 from notchhoist.flows.model.fleet import Route
 from notchhoist.flows.model.notes import NoteKind
+from notchhoist.flows.model.request_hints import RequestHints
 from notchhoist.flows.model.segments import Segment, SegmentCodec
-from notchhoist.flows.model.wishes import Wish
 
 
 class FlowForwarder(Struct, eq=False):
@@ -38,14 +38,14 @@
         """
         self.board.flows.move_to_end(segment.flow)
         server = placement.server
-        if segment.size and segment.repeats(placement.last):
+        if segment.size and segment.is_retransmission_of(placement.last):
             self.health.on_retransmission(server, now)
         placement.last_at = now
         placement.last = segment
         placement.first_forwarded_at = min(placement.first_forwarded_at, now)
         placement.closing = placement.closing or segment.closes
         wish = _wish(route, placement, segment, now)
-        note = notes.to_agent(NoteKind.HELD, server.tag, wish)
+        note = notes.to_agent(NoteKind.FORWARD, server.tag, wish)
         datagram = self.codec.with_note(segment, note)
         self.board.outbox.append(
             SendAgent(server.entry.host, datagram, segment.flow, segment.seq)
@@ -55,11 +55,11 @@
 
 def _wish(
     route: Route, placement: Placement, segment: Segment, now: float
-) -> Wish:
+) -> RequestHints:
     """Returns the request hints that the packet carries to the agent."""
     since = placement.waiting_since
     if since is None:
-        return route.wish()
+        return route.request_hints()
     if segment.size:
         placement.waiting_since = None
-    return route.wish(now - since)
+    return route.request_hints(now - since)
--- a/notchhoist/flows/balancer/health.py
+++ b/notchhoist/flows/balancer/health.py
@@ -88,13 +88,16 @@
     def on_packet_sent(self, server: Server, now: float) -> None:
         """Handles a packet sent to an agent; probes it if its load is old."""
         interval_s = max(LOAD_FRESH_S, len(self.board.by_host) / PROBES_PER_S)
-        if server.probed_at is None and now - server.heard_at > interval_s:
+        if (
+            server.unanswered_probe_at is None
+            and now - server.heard_at > interval_s
+        ):
             self._probe(server, now)
 
     def on_retransmission(self, server: Server, now: float) -> None:
         """Probes an agent, as a retransmission may show a lost packet."""
         if (
-            server.probed_at is None
+            server.unanswered_probe_at is None
             and now - server.heard_at > HEARD_RECENTLY_S
         ):
             self._probe(server, now)
@@ -105,21 +108,21 @@
         Returns:
             Whether a probe was sent.
         """
-        if server.probed_at is not None:
+        if server.unanswered_probe_at is not None:
             return False
         self._probe(server, now)
         return True
 
     def _probe(self, server: Server, now: float) -> None:
-        if server.probed_at is None:
-            server.probed_at = now
+        if server.unanswered_probe_at is None:
+            server.unanswered_probe_at = now
         server.probe_sent_at = now
         self.awaiting_reply[server.entry.server_id] = server
         state = None
         if needs_agent_update(self.board, server):
             state = server_state(self.board, server, now)
-            server.state_told = state.revision
-            server.told_at = now
+            server.state_sent_revision = state.revision
+            server.state_sent_at = now
         message = LoadAsk(server.entry.slots, state)
         self.board.outbox.append(SendPeer(server.entry.host, message))
 
@@ -131,17 +134,17 @@
         self.heard_at = now
         self.awaiting_reply.pop(server.entry.server_id, None)
         if server.suspected:
-            self.board.records.decide(
+            self.board.records.record_decision(
                 "agent regained", b"", server.entry.server_id, server_host=host
             )
         server.heard_at = now
         server.refused_since = None
-        server.probed_at = None
+        server.unanswered_probe_at = None
         server.suspected = False
         server.lost = False
         if not self.board.uses.own_offers:
             server.offered = 0
-        server.note_load(load.flows, load.running, load.pace_ms)
+        server.record_load(load.flows, load.running, load.service_time_ms)
 
     def on_load_tell(self, host: str, message: LoadTell, now: float) -> None:
         """Handles an agent's answer to a load probe."""
@@ -160,18 +163,21 @@
         Probes are not numbered, so an answer to one of several cannot be timed.
         """
         sent_at = server.probe_sent_at
-        if server.probed_at is not None and server.probed_at == sent_at:
+        if (
+            server.unanswered_probe_at is not None
+            and server.unanswered_probe_at == sent_at
+        ):
             self.distances.add_sample(server, sent_at, now)
 
     def suspect(self, server: Server, now: float, reason: str) -> None:
         """Stops new flows to a server until its agent is heard again."""
-        if server.probed_at is None:
+        if server.unanswered_probe_at is None:
             self._probe(server, now)
         if server.suspected:
             return
         server.suspected = True
         self.board.records.counters[Count.SUSPECTED] += 1
-        self.board.records.decide(
+        self.board.records.record_decision(
             "suspect",
             b"",
             server.entry.server_id,
@@ -197,7 +203,8 @@
             server.heard_at >= since for server in self.board.by_host.values()
         )
         silent = sum(
-            server.probed_at is not None and server.probed_at <= since
+            server.unanswered_probe_at is not None
+            and server.unanswered_probe_at <= since
             for server in self.awaiting_reply.values()
         )
         return silent <= heard
@@ -212,9 +219,9 @@
             if self.board.servers.get(server_id) is not server:
                 del self.awaiting_reply[server_id]
                 continue
-            if server.probed_at is None:
+            if server.unanswered_probe_at is None:
                 continue
-            silence_s = now - server.probed_at
+            silence_s = now - server.unanswered_probe_at
             if detects and silence_s >= SUSPECT_AFTER_S:
                 self.suspect(server, now, "no answer to probes")
                 self.host_checker.start_check(server, now)
--- a/notchhoist/flows/balancer/idle_flows.py
+++ b/notchhoist/flows/balancer/idle_flows.py
@@ -306,7 +306,7 @@
     def _send_flow_probes(
         self, server: Server, batch: list[bytes], recheck: Recheck, now: float
     ) -> None:
-        note = notes.to_agent(NoteKind.HELD, server.tag, notes.NO_WISH)
+        note = notes.to_agent(NoteKind.FORWARD, server.tag, notes.NO_HINTS)
         for flow in batch:
             last = self.board.flows[flow].last
             datagram = self.codec.with_note(last, note)
@@ -315,7 +315,7 @@
             )
         self.health.on_packet_sent(server, now)
         self.board.records.counters[Count.SEARCHED_AT_REST] += len(batch)
-        self.board.records.decide(
+        self.board.records.record_decision(
             "try resting flows",
             b"",
             server.entry.server_id,
--- a/notchhoist/flows/balancer/informing.py
+++ b/notchhoist/flows/balancer/informing.py
@@ -89,8 +89,8 @@
     def send_state(self, server: Server, now: float) -> None:
         """Sends an agent the published state of its server."""
         state = server_state(self.board, server, now)
-        server.state_told = state.revision
-        server.told_at = now
+        server.state_sent_revision = state.revision
+        server.state_sent_at = now
         message = LoadAsk(server.entry.slots, state)
         self.board.outbox.append(SendPeer(server.entry.host, message))
 
@@ -102,7 +102,7 @@
         it.
         """
         newest = self.board.view.state_revision(server.entry)
-        if server.state_told < newest and needs_agent_update(
+        if server.state_sent_revision < newest and needs_agent_update(
             self.board, server
         ):
             self.send_state(server, now)
@@ -116,7 +116,8 @@
         if message.state_revision >= newest:
             self.pending.pop(server.entry.server_id, None)
         elif (
-            now - server.told_at >= RESEND_AFTER_S or server.state_told < newest
+            now - server.state_sent_at >= RESEND_AFTER_S
+            or server.state_sent_revision < newest
         ):
             # Agents of earlier versions never report a state revision.
             self.send_state(server, now)
--- a/notchhoist/flows/balancer/isolation.py
+++ b/notchhoist/flows/balancer/isolation.py
@@ -75,7 +75,8 @@
         if self.health.heard_at > since:
             return False
         owing = sum(
-            server.probed_at is not None and server.probed_at <= since
+            server.unanswered_probe_at is not None
+            and server.unanswered_probe_at <= since
             for server in self.health.awaiting_reply.values()
         )
         return owing >= min(SILENT_AGENTS_MIN, max(1, len(self.board.by_host)))
@@ -87,7 +88,7 @@
         board.isolated = isolated
         if isolated:
             board.records.counters[Count.ISOLATED] += 1
-        board.records.decide(
+        board.records.record_decision(
             "isolated" if isolated else "no longer isolated",
             b"",
             "not ready" if isolated else "ready",
--- a/notchhoist/flows/balancer/liveness.py
+++ b/notchhoist/flows/balancer/liveness.py
@@ -11,7 +11,7 @@
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.decisions.server_exit import has_exited
-from notchhoist.flows.model.effects import CheckHost, Reach
+from notchhoist.flows.model.effects import CheckHost, ConnectResult
 from notchhoist.flows.model.fleet import Server
 from notchhoist.flows.model.records import Count
 
@@ -51,21 +51,21 @@
         self.pending.add(host)
         self.board.outbox.append(CheckHost(host))
 
-    def on_checked(self, host: str, reach: Reach, now: float) -> None:
+    def on_checked(self, host: str, reach: ConnectResult, now: float) -> None:
         """Handles the outcome of ``CheckHost``."""
         self.pending.discard(host)
         server = self.board.by_host.get(host)
         if server is None:
             return
         server.checked_at = now
-        if reach is not Reach.REFUSED:
+        if reach is not ConnectResult.REFUSED:
             server.refused_since = None
             return
         if server.refused_since is None:
             server.refused_since = now
         if now > server.restarting_until:
             self.board.records.counters[Count.AGENTS_AWAY] += 1
-            self.board.records.decide(
+            self.board.records.record_decision(
                 "agent away",
                 b"",
                 "host refuses connections",
@@ -84,7 +84,10 @@
         just like one whose agent is restarting. Searches for other flows must
         not wait for an answer of such an agent.
         """
-        if server.probed_at is None or server.checked_at < server.probed_at:
+        if (
+            server.unanswered_probe_at is None
+            or server.checked_at < server.unanswered_probe_at
+        ):
             return False
         if now > server.restarting_until:
             return True
--- a/notchhoist/flows/balancer/locality.py
+++ b/notchhoist/flows/balancer/locality.py
@@ -108,7 +108,7 @@
         extra_s = min(
             costs[item.entry.zone].extra_round_trip_s for item in untried
         )
-        long_lived_flow = opening.route.long_lived
+        long_lived_flow = opening.route.is_multi_request
         trips = (
             zone_distance.MULTI_REQUEST_ROUND_TRIPS
             if long_lived_flow
@@ -131,8 +131,8 @@
             counts_offer = server_id == opening.tried[-1] and server.offered > 0
             ahead = server.running - counts_offer
             slots = server.entry.slots
-            if server.pace_ms and ahead >= max(1, slots):
-                pace_s = server.pace_ms / 1000
+            if server.service_time_ms and ahead >= max(1, slots):
+                pace_s = server.service_time_ms / 1000
                 waits_s.append(
                     zone_distance.queueing_delay_s(ahead, slots, pace_s)
                 )
@@ -154,6 +154,8 @@
 
 def _service_time_s(servers: Sequence[Server]) -> float:
     """Returns the median service time, seconds; 0 if few servers report it."""
-    service_times_ms = [server.pace_ms for server in servers if server.pace_ms]
+    service_times_ms = [
+        server.service_time_ms for server in servers if server.service_time_ms
+    ]
     is_known = 2 * len(service_times_ms) >= len(servers)
     return server_selection.median(service_times_ms) / 1000 if is_known else 0.0
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -24,7 +24,7 @@
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.decisions.early_packets import EarlyPackets
 from notchhoist.flows.model import notes
-from notchhoist.flows.model.effects import Effect, Reach
+from notchhoist.flows.model.effects import ConnectResult, Effect
 from notchhoist.flows.model.fleet import Route
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
 from notchhoist.flows.model.messages import (
@@ -133,7 +133,7 @@
             return
         kept = len(self.early.by_flow)
         segments = self.early.take(now)
-        board.records.decide(
+        board.records.record_decision(
             "serve early packets",
             b"",
             "served",
@@ -174,14 +174,16 @@
             return []
         kind = notes.kind_of(segment.note)
         load = notes.load_of(segment.note)
-        if kind is NoteKind.FULL:
-            load = replace(load, pace_ms=self.board.by_host[host].pace_ms)
+        if kind is NoteKind.AT_COLD_BOUND:
+            load = replace(
+                load, service_time_ms=self.board.by_host[host].service_time_ms
+            )
         self.health.on_heard(host, load, now)
         self._repeat_overdue_question(host, now)
         match kind:
-            case NoteKind.TAKEN:
+            case NoteKind.ACCEPTED:
                 self.opener.outcomes.on_accepted(host, segment, now)
-            case NoteKind.FULL:
+            case NoteKind.AT_COLD_BOUND:
                 self.opener.on_full(host, segment, now)
             case NoteKind.BUSY:
                 self.opener.on_busy(host, segment, now)
@@ -222,7 +224,7 @@
             self.finder.queries.on_heard(host, server.tag, now)
 
     def on_host_checked(
-        self, host: str, reach: Reach, now: float
+        self, host: str, reach: ConnectResult, now: float
     ) -> list[Effect]:
         """Handles the outcome of ``CheckHost``."""
         self.health.host_checker.on_checked(host, reach, now)
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -23,8 +23,8 @@
 from notchhoist.flows.model.fleet import RequestKind, Route, Server
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.records import Count
+from notchhoist.flows.model.request_hints import RequestHints
 from notchhoist.flows.model.segments import Segment, SegmentCodec
-from notchhoist.flows.model.wishes import Wish
 from notchhoist.flows.published.states import cold_bound_of
 
 PLACEMENTS_MAX = 200_000
@@ -64,7 +64,7 @@
         placement = self.board.flows.get(flow)
         if placement is not None and placement.accepted:
             # The server's acceptance may have been lost; the server repeats it.
-            wish = route.wish(segment.waited_s)
+            wish = route.request_hints(segment.waited_s)
             self._send(placement.server, segment, wish, now)
             return
         opening = self.board.openings.get(flow)
@@ -142,11 +142,11 @@
         opening.tried.append(server.entry.server_id)
         opening.sent_at = now
         opening.wait_s = self.locality.accept_wait_s(server)
-        server.note_offer()
+        server.record_offer()
         self.informer.before_offer(server, now)
         self._record_placement(opening, server, now)
         age_s = now - opening.waiting_since
-        wish = opening.route.wish(age_s, opening.may_be_retry)
+        wish = opening.route.request_hints(age_s, opening.may_be_retry)
         self._send(server, opening.segment, wish, now, opening.if_free)
 
     def _record_offer(
@@ -155,14 +155,14 @@
         again = len(opening.tried)
         count = Count.PLACED_AGAIN if again else Count.PLACED
         self.board.records.counters[count] += 1
-        self.board.records.decide(
+        self.board.records.record_decision(
             "place",
             opening.segment.flow,
             server.entry.server_id,
             service=opening.service,
             flows=server.flows,
             running=server.running,
-            pace_ms=server.pace_ms,
+            pace_ms=server.service_time_ms,
             load_age_s=round(now - server.heard_at, 3),
             choices=choices,
             again=again,
@@ -219,7 +219,7 @@
         self,
         server: Server,
         segment: Segment,
-        wish: Wish,
+        wish: RequestHints,
         now: float,
         if_free: bool = False,
     ) -> None:
@@ -245,7 +245,7 @@
             # The caller's retransmissions go to another balancer once routers
             # see that this one is not ready.
             board.records.counters[Count.LEFT_TO_OTHERS] += 1
-            board.records.decide(
+            board.records.record_decision(
                 "leave to others",
                 flow,
                 "no agent is heard",
@@ -297,7 +297,7 @@
         """Handles a flow returned by a server that takes none for a while."""
         server = self.board.by_host.get(host)
         if server is not None:
-            server.full_until = now + notes.pause_of(segment.note)
+            server.at_cold_bound_until = now + notes.pause_of(segment.note)
         self.on_refused(host, segment, now)
 
     def tick(self, now: float) -> None:
--- a/notchhoist/flows/balancer/resetting.py
+++ b/notchhoist/flows/balancer/resetting.py
@@ -34,6 +34,6 @@
         """
         board = self.board
         board.records.counters[Count.RESETS] += 1
-        board.records.decide("reset", segment.flow, reason, **inputs)
+        board.records.record_decision("reset", segment.flow, reason, **inputs)
         reset = self.codec.make_reset(segment)
         board.outbox.append(SendCaller(segment.caller, reset))
--- a/notchhoist/flows/balancer/resuming.py
+++ b/notchhoist/flows/balancer/resuming.py
@@ -38,7 +38,7 @@
         counters[Count.FOUND] += 1
         if server.entry.service != search.services[0]:
             counters[Count.FOUND_ELSEWHERE] += 1
-        self.board.records.decide(
+        self.board.records.record_decision(
             "find",
             flow,
             server.entry.server_id,
@@ -49,7 +49,9 @@
         )
         last = search.waiting[-1]
         self.board.flows[flow] = Placement(server, True, now, last)
-        note = request_note(self.board, search, NoteKind.HELD, server.tag, now)
+        note = request_note(
+            self.board, search, NoteKind.FORWARD, server.tag, now
+        )
         for segment in search.waiting:
             datagram = self.codec.with_note(segment, note)
             self.board.outbox.append(
--- a/notchhoist/flows/balancer/sample_packets.py
+++ b/notchhoist/flows/balancer/sample_packets.py
@@ -59,7 +59,7 @@
         for host in hosts:
             by_tag.setdefault(self.board.by_host[host].tag, []).append(host)
         for tag, tagged_hosts in by_tag.items():
-            note = request_note(self.board, search, NoteKind.TRY, tag, now)
+            note = request_note(self.board, search, NoteKind.SAMPLE, tag, now)
             datagram = self.codec.with_note(sample, note)
             self.queries.send_sample(
                 tagged_hosts, tag, sample.flow, datagram, now
@@ -88,9 +88,9 @@
     table = board.table
     service_key = search.waiting[0].service_key
     route = table.routes.get(service_key) if table else None
-    wish = notes.NO_WISH
+    wish = notes.NO_HINTS
     if route is not None and board.uses.kept_wish:
-        wish = route.wish(now - search.since)
+        wish = route.request_hints(now - search.since)
     return notes.to_agent(kind, tag, wish)
 
 
--- a/notchhoist/flows/balancer/search_records.py
+++ b/notchhoist/flows/balancer/search_records.py
@@ -38,7 +38,7 @@
     """
     record_duration(board, search, "given up", now)
     board.records.counters[Count.FINDS_GIVEN_UP] += 1
-    board.records.decide(
+    board.records.record_decision(
         "give up finding",
         flow,
         reason,
--- a/notchhoist/flows/balancer/targeting.py
+++ b/notchhoist/flows/balancer/targeting.py
@@ -22,7 +22,7 @@
         flow: Key of the flow.
         now: Runtime clock, seconds.
     """
-    if not route.splits:
+    if not route.is_split:
         return route.targets[0][0]
     available = [
         (service, weight)
--- a/notchhoist/flows/balancer/tests/test_accepting.py
+++ b/notchhoist/flows/balancer/tests/test_accepting.py
@@ -5,12 +5,12 @@
 from notchhoist.flows.model.messages import LoadTell
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.model.records import Count
-from notchhoist.flows.tests.balancing import (
+from notchhoist.flows.tests.balancer_harness import (
     balancer,
     packets,
     resets,
-    tell,
-    tick_among_dead,
+    send_agent_note,
+    tick_with_silent_hosts,
 )
 from notchhoist.flows.tests.crafting import RST, SYN, request, with_note
 
@@ -75,8 +75,8 @@
     node = balancer()
     syn, first = offer_flow(node)
     [(second, _)] = packets(node.tick(OVERDUE_S))
-    tell(node, second, syn, NoteKind.TAKEN, OVERDUE_S + 0.001)
-    tell(node, first, syn, NoteKind.TAKEN, OVERDUE_S + 0.002)
+    send_agent_note(node, second, syn, NoteKind.ACCEPTED, OVERDUE_S + 0.001)
+    send_agent_note(node, first, syn, NoteKind.ACCEPTED, OVERDUE_S + 0.002)
     assert node.board.records.counters[Count.ACCEPTED_IN_VAIN] == 1
     assert node.board.flows[syn.flow].server.entry.host == second
 
@@ -92,7 +92,7 @@
     found = []
     node.on_caller(data, 0.01)
     if acceptance_reported:
-        tell(node, unreachable, syn, NoteKind.TAKEN, 0.012)
+        send_agent_note(node, unreachable, syn, NoteKind.ACCEPTED, 0.012)
     for step in range(1, 41):
         now = step / 20
         for host in node.board.by_host:
@@ -100,7 +100,7 @@
                 node.on_peer(host, LoadTell(0, 0, 0, False), now)
         if now in (0.2, 0.6, 1.0):
             found += resets(node.on_caller(data, now))
-        found += resets(tick_among_dead(node, now))
+        found += resets(tick_with_silent_hosts(node, now))
     assert node.board.by_host[unreachable].lost
     return len(found)
 
--- a/notchhoist/flows/balancer/tests/test_anew.py
+++ b/notchhoist/flows/balancer/tests/test_anew.py
@@ -12,11 +12,11 @@
 from notchhoist.flows.model.messages import FlowsTell, ViewAsk, ViewTell
 from notchhoist.flows.model.view import ViewChange
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.balancing import (
-    asked_agents,
+from notchhoist.flows.tests.balancer_harness import (
     packets,
+    queried_agents,
     resets,
-    tried_agents,
+    sample_packets,
 )
 from notchhoist.flows.tests.crafting import CODEC, entry, request
 
@@ -49,7 +49,7 @@
 def search_lost_flow(node, ages_ms, now=NOW):
     """Searches for a lost flow; unsure agents report their ages."""
     effects = node.on_caller(LOST, now)
-    hosts = asked_agents(effects)
+    hosts = queried_agents(effects)
     for host, age_ms in zip(hosts, ages_ms, strict=True):
         tell = FlowsTell(
             queue_of(node, host).number, unsure=(LOST.flow,), age_ms=age_ms
@@ -65,37 +65,37 @@
 
 def test_lost_flow_is_reset_after_one_round_of_queries():
     node = balancer()
-    assert not tried_agents(search_lost_flow(node, [OLD_AGENT_MS] * 2))
+    assert not sample_packets(search_lost_flow(node, [OLD_AGENT_MS] * 2))
     assert is_reset_when_confirmed(node)
 
 
 def test_agent_started_shortly_after_first_placement_has_no_predecessor():
     node = balancer()
-    assert not tried_agents(search_lost_flow(node, [YOUNG_AGENT_MS] * 2))
+    assert not sample_packets(search_lost_flow(node, [YOUNG_AGENT_MS] * 2))
     assert is_reset_when_confirmed(node)
 
 
 def test_agent_restarted_later_gets_a_sample():
     node = balancer()
     now = KNOWN_AT + RESTART_MIN_S + 0.2
-    first, second = asked_agents(node.on_caller(LOST, now))
+    first, second = queried_agents(node.on_caller(LOST, now))
     for host, age_ms in ((first, 1000), (second, 100)):
         tell = FlowsTell(
             queue_of(node, host).number, unsure=(LOST.flow,), age_ms=age_ms
         )
         effects = node.on_peer(host, tell, now)
-    assert [host for host, _ in tried_agents(effects)] == [second]
+    assert [host for host, _ in sample_packets(effects)] == [second]
     assert not is_reset_when_confirmed(node, now)
 
 
 def test_agents_get_samples_if_one_server_did_not_restart():
     """Only some hosts lost power, or a release is in progress."""
     node = balancer(warm=(2,))
-    assert len(tried_agents(search_lost_flow(node, [OLD_AGENT_MS] * 2))) == 2
+    assert len(sample_packets(search_lost_flow(node, [OLD_AGENT_MS] * 2))) == 2
 
 
 def test_agents_of_older_versions_report_no_age():
-    assert len(tried_agents(search_lost_flow(balancer(), [0, 0]))) == 2
+    assert len(sample_packets(search_lost_flow(balancer(), [0, 0]))) == 2
 
 
 def test_balancer_learns_of_earlier_placements_by_others():
@@ -105,7 +105,7 @@
     node.on_peer(
         "10.0.9.9", ViewTell(change, 0.1, (), placing_for_ms=5000), NOW
     )
-    assert len(tried_agents(search_lost_flow(node, [OLD_AGENT_MS] * 2))) == 2
+    assert len(sample_packets(search_lost_flow(node, [OLD_AGENT_MS] * 2))) == 2
 
 
 def test_balancer_reports_since_when_flows_may_be_placed():
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("age_ms", [OLD_AGENT_MS, YOUNG_AGENT_MS])
 def test_flow_reported_present_is_found(age_ms):
     node = balancer()
-    [first, _] = asked_agents(node.on_caller(LOST, NOW))
+    [first, _] = queried_agents(node.on_caller(LOST, NOW))
     tell = FlowsTell(
         queue_of(node, first).number, present=(LOST.flow,), age_ms=age_ms
     )
--- a/notchhoist/flows/balancer/tests/test_attempts.py
+++ b/notchhoist/flows/balancer/tests/test_attempts.py
@@ -8,7 +8,7 @@
 from notchhoist.flows.model.fleet import ColdBound, RequestKind
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.flows.model.notes import Load, NoteKind
-from notchhoist.flows.tests.balancing import balancer, packets, resets
+from notchhoist.flows.tests.balancer_harness import balancer, packets, resets
 from notchhoist.flows.tests.crafting import (
     SERVICE,
     SYN,
--- a/notchhoist/flows/balancer/tests/test_balancer.py
+++ b/notchhoist/flows/balancer/tests/test_balancer.py
@@ -11,13 +11,13 @@
 from notchhoist.flows.model.messages import LoadTell
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.balancing import (
+from notchhoist.flows.tests.balancer_harness import (
     balancer,
     open_flow,
     packets,
     resets,
-    tell,
-    tick_among_dead,
+    send_agent_note,
+    tick_with_silent_hosts,
 )
 from notchhoist.flows.tests.crafting import ACK, CODEC, SYN, entry, request
 
@@ -28,7 +28,7 @@
     effects = node.on_caller(request(data=b"x"), 0.01)
     [(same, segment)] = packets(effects)
     assert same == host
-    assert notes.kind_of(segment.note) is NoteKind.HELD
+    assert notes.kind_of(segment.note) is NoteKind.FORWARD
 
 
 def test_new_flows_go_to_the_servers_with_the_fewest_flows():
@@ -102,7 +102,7 @@
             for effect in node.on_caller(data, now):
                 if isinstance(effect, SendPeer) and effect.host == "10.0.0.1":
                     node.on_peer("10.0.0.1", LoadTell(1, 0, 0, False), now)
-        flow_resets += resets(tick_among_dead(node, now))
+        flow_resets += resets(tick_with_silent_hosts(node, now))
     assert len(flow_resets) == 1
 
 
@@ -124,7 +124,7 @@
         for effect in node.on_caller(request(data=b"x", seq=step), now):
             if isinstance(effect, SendPeer):
                 node.on_peer(effect.host, LoadTell(1, 0, 0, False), now)
-        effects += tick_among_dead(node, now)
+        effects += tick_with_silent_hosts(node, now)
     assert not resets(effects)
 
 
@@ -140,7 +140,7 @@
             node.on_caller(request(data=b"x", port=port, seq=step), now)
         for host in ("10.0.0.1", "10.0.0.2"):
             node.on_peer(host, LoadTell(2, 0, 0, False), now)
-        effects += tick_among_dead(node, now)
+        effects += tick_with_silent_hosts(node, now)
     assert len(resets(effects)) == 2
 
 
@@ -183,7 +183,7 @@
         now = 0.05 * step
         for port in range(40001, 40007):
             node.on_caller(request(data=b"x", port=port, seq=step), now)
-        effects += tick_among_dead(node, now)
+        effects += tick_with_silent_hosts(node, now)
     assert not resets(effects)
 
 
@@ -191,7 +191,7 @@
     node = balancer(servers=2)
     host = open_flow(node)
     data = request(data=b"x")
-    effects = tell(node, host, data, NoteKind.REFUSED, 0.9)
+    effects = send_agent_note(node, host, data, NoteKind.REFUSED, 0.9)
     assert len(resets(effects)) == 1
     assert not packets(effects)
 
@@ -199,7 +199,7 @@
 def test_packets_of_unknown_hosts_are_dropped():
     node = balancer()
     data = request(data=b"x")
-    assert not tell(node, "10.9.9.9", data, NoteKind.PRESENT, 0.0)
+    assert not send_agent_note(node, "10.9.9.9", data, NoteKind.PRESENT, 0.0)
 
 
 @pytest.mark.parametrize("flags", [SYN, ACK])
@@ -225,12 +225,12 @@
     for port in (40001, 40002):
         node.on_caller(request(data=b"y", port=port, seq=9), 1.3)
     node.tick(1.31)
-    effects = tick_among_dead(node, 3.0)
+    effects = tick_with_silent_hosts(node, 3.0)
     assert not resets(effects)
     assert not any(item.suspected for item in node.board.servers.values())
     for host in ("10.0.0.1", "10.0.0.2"):
         node.on_peer(host, LoadTell(1, 0, 0, False), 3.01)
-    assert not resets(tick_among_dead(node, 3.2))
+    assert not resets(tick_with_silent_hosts(node, 3.2))
 
 
 def resets_with_silent_agents(link_mbps, silent, until_s, agents=8):
@@ -249,7 +249,7 @@
             node.on_caller(request(data=b"x", port=port, seq=step), now)
         for host in heard:
             node.on_peer(host, LoadTell(2, 0, 0, False), now)
-        found += resets(tick_among_dead(node, now))
+        found += resets(tick_with_silent_hosts(node, now))
     return len(found)
 
 
@@ -268,7 +268,9 @@
     sent = [packets(node.on_caller(syn, 0.0))[0][0] for syn in kept]
     first = sent[0]
     # The agent reports its load of when only the first flow had arrived.
-    tell(node, first, kept[0], NoteKind.TAKEN, 0.002, Load(1, 1, 40))
+    send_agent_note(
+        node, first, kept[0], NoteKind.ACCEPTED, 0.002, Load(1, 1, 40)
+    )
     more = [request(flags=SYN, port=1000 + number) for number in range(9)]
     hosts = [packets(node.on_caller(syn, 0.003))[0][0] for syn in more]
     assert hosts.count(first) <= 4
--- a/notchhoist/flows/balancer/tests/test_distances.py
+++ b/notchhoist/flows/balancer/tests/test_distances.py
@@ -14,7 +14,7 @@
 from notchhoist.flows.model.fleet import Server
 from notchhoist.flows.model.messages import FlowsTell, LoadTell
 from notchhoist.flows.model.notes import Load, NoteKind
-from notchhoist.flows.tests.balancing import balancer, open_flow, packets
+from notchhoist.flows.tests.balancer_harness import balancer, open_flow, packets
 from notchhoist.flows.tests.crafting import SYN, entry, request, with_note
 
 NEAR = Server(entry(1, "a"), 0, 0.0)
--- a/notchhoist/flows/balancer/tests/test_evacuating.py
+++ b/notchhoist/flows/balancer/tests/test_evacuating.py
@@ -8,7 +8,7 @@
 from notchhoist.flows.model.messages import LoadAsk, LoadTell
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.balancing import open_flow, packets, resets
+from notchhoist.flows.tests.balancer_harness import open_flow, packets, resets
 from notchhoist.flows.tests.crafting import CODEC, SYN, entry, request
 
 ZONES = "abc"
@@ -34,7 +34,7 @@
 
 def evacuate(node, zone, revision, now):
     node.fleet.zones.on_evacuated(zone, revision, now)
-    node.board.view.reach(revision)
+    node.board.view.advance_to(revision)
 
 
 def zones_of_new_flows(node, count=60, now=1.0):
@@ -56,7 +56,7 @@
 
 
 def answer_full(node, host, segment, now, pause_s=0.5):
-    note = notes.full(Load(), pause_s)
+    note = notes.at_cold_bound(Load(), pause_s)
     return node.on_agent(host, crafting.with_note(segment, note), now)
 
 
@@ -179,9 +179,9 @@
     node = balancer(servers=2)
     syn = request(flags=SYN)
     [(first, _)] = packets(node.on_caller(syn, 1.0))
-    node.board.by_host[first].pace_ms = 40
+    node.board.by_host[first].service_time_ms = 40
     answer_full(node, first, syn, 1.001, pause_s=1.0)
-    assert node.board.by_host[first].pace_ms == 40
+    assert node.board.by_host[first].service_time_ms == 40
 
 
 def test_the_agent_of_a_bounded_cold_server_gets_the_state_before_a_flow():
@@ -198,7 +198,7 @@
     node = balancer(ColdBound(crafting.SERVICE, 6.0, 2.0))
     evacuate(node, "a", 2, 1.0)
     node.fleet.zones.on_returned("a", 3, 5.0)
-    node.board.view.reach(3)
+    node.board.view.advance_to(3)
     states = dict(sent_states(node.tick(5.0)))
     cold = {
         node.board.by_host[host].entry.zone
@@ -211,7 +211,7 @@
 def test_the_agent_of_a_draining_server_gets_the_state():
     node = balancer()
     node.fleet.on_entry(entry(1, zone="b", draining=True), 5, 1.0)
-    node.board.view.reach(5)
+    node.board.view.advance_to(5)
     states = dict(sent_states(node.tick(1.0)))
     assert [state.draining for state in states.values()] == [True]
     assert set(states) == {"10.0.0.1"}
--- a/notchhoist/flows/balancer/tests/test_finding.py
+++ b/notchhoist/flows/balancer/tests/test_finding.py
@@ -13,17 +13,17 @@
 from notchhoist.flows.model.messages import LoadTell
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.balancing import (
-    asked_agents,
+from notchhoist.flows.tests.balancer_harness import (
+    answer_query,
     balancer,
     open_flow,
     packets,
+    queried_agents,
+    report_sample_absent,
     resets,
-    tell,
-    tell_flow,
-    tell_outcome,
-    tick_among_dead,
-    tried_agents,
+    sample_packets,
+    send_agent_note,
+    tick_with_silent_hosts,
 )
 from notchhoist.flows.tests.crafting import CODEC, entry, request
 
@@ -31,10 +31,10 @@
 def test_unknown_flow_is_searched_at_all_agents_and_found():
     node = balancer()
     lost = request(data=b"x", ack=77)
-    asked = asked_agents(node.on_caller(lost, 0.0))
+    asked = queried_agents(node.on_caller(lost, 0.0))
     assert asked == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
-    tell_flow(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
-    effects = tell_flow(node, "10.0.0.3", lost, NoteKind.PRESENT, 0.003)
+    answer_query(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
+    effects = answer_query(node, "10.0.0.3", lost, NoteKind.PRESENT, 0.003)
     [(host, segment)] = packets(effects)
     assert (host, segment.size) == ("10.0.0.3", 1)
 
@@ -43,21 +43,21 @@
     """Otherwise each change makes all 44 agents get a query for each flow."""
     node = balancer(servers=44)
     lost = request(data=b"x")
-    asked = set(asked_agents(node.on_caller(lost, 0.0)))
+    asked = set(queried_agents(node.on_caller(lost, 0.0)))
     assert len(asked) == CANDIDATES_MAX
     remaining = []
     for host in asked:
-        effects = tell_flow(node, host, lost, NoteKind.ABSENT, 0.002)
-        remaining += asked_agents(effects)
+        effects = answer_query(node, host, lost, NoteKind.ABSENT, 0.002)
+        remaining += queried_agents(effects)
     assert len(remaining) == 44 - CANDIDATES_MAX
     assert asked.isdisjoint(remaining)
 
 
 def test_silent_agent_does_not_block_queries_to_others():
     node = balancer(servers=44)
-    asked = asked_agents(node.on_caller(request(data=b"x"), 0.0))
-    asked += asked_agents(node.tick(0.09))
-    asked += asked_agents(node.tick(0.11))
+    asked = queried_agents(node.on_caller(request(data=b"x"), 0.0))
+    asked += queried_agents(node.tick(0.09))
+    asked += queried_agents(node.tick(0.11))
     assert len(set(asked)) == 44
 
 
@@ -67,15 +67,19 @@
         host = open_flow(node, port=port)
         lost = request(data=b"x", port=port)
         other = balancer(servers=44)
-        assert host in asked_agents(other.on_caller(lost, 0.0))
+        assert host in queried_agents(other.on_caller(lost, 0.0))
 
 
 def test_flow_reported_absent_by_every_agent_is_reset():
     node = balancer(servers=2)
     lost = request(data=b"x", ack=77)
     node.on_caller(lost, 0.0)
-    assert not resets(tell(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002))
-    assert not resets(tell(node, "10.0.0.2", lost, NoteKind.ABSENT, 0.003))
+    assert not resets(
+        send_agent_note(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
+    )
+    assert not resets(
+        send_agent_note(node, "10.0.0.2", lost, NoteKind.ABSENT, 0.003)
+    )
     [effect] = resets(node.tick(0.003 + UNCONFIRMED_RESET_DELAY_S))
     assert CODEC.decode_answer(effect.datagram).seq == 77
 
@@ -85,11 +89,11 @@
     node = balancer(servers=1)
     lost = request(data=b"x", ack=77)
     node.on_caller(lost, 0.0)
-    tell_flow(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
+    answer_query(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
     node.fleet.on_entry(entry(2), 5, 0.4)
-    [host] = asked_agents(node.tick(0.002 + UNCONFIRMED_RESET_DELAY_S))
+    [host] = queried_agents(node.tick(0.002 + UNCONFIRMED_RESET_DELAY_S))
     assert host == "10.0.0.2"
-    effects = tell_flow(node, host, lost, NoteKind.PRESENT, 0.71)
+    effects = answer_query(node, host, lost, NoteKind.PRESENT, 0.71)
     assert packets(effects)
     assert not resets(effects)
 
@@ -98,11 +102,11 @@
     node = balancer(servers=2)
     lost = request(data=b"x")
     node.on_caller(lost, 0.0)
-    tell(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
+    send_agent_note(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
     stopping = LoadTell(0, 0, 0, True)
     effects = node.on_peer("10.0.0.2", stopping, 0.003)
     for step in range(1, 20):
-        effects += tick_among_dead(node, 0.1 * step)
+        effects += tick_with_silent_hosts(node, 0.1 * step)
     assert not resets(effects)
 
 
@@ -111,10 +115,10 @@
     lost = request(data=b"x")
     node.on_caller(lost, 0.0)
     node.on_caller(request(data=b"y", seq=1), 0.001)
-    tell_flow(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
-    effects = tell_flow(node, "10.0.0.2", lost, NoteKind.UNSURE, 0.003)
-    [(host, segment)] = tried_agents(effects)
-    assert (host, notes.kind_of(segment.note)) == ("10.0.0.2", NoteKind.TRY)
+    answer_query(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
+    effects = answer_query(node, "10.0.0.2", lost, NoteKind.UNSURE, 0.003)
+    [(host, segment)] = sample_packets(effects)
+    assert (host, notes.kind_of(segment.note)) == ("10.0.0.2", NoteKind.SAMPLE)
 
 
 def test_silence_after_a_sample_packet_does_not_locate_the_flow():
@@ -125,13 +129,13 @@
     node = balancer(servers=2)
     lost = request(data=b"x")
     node.on_caller(lost, 0.0)
-    tell_flow(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
-    tell_flow(node, "10.0.0.2", lost, NoteKind.UNSURE, 0.003)
+    answer_query(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
+    answer_query(node, "10.0.0.2", lost, NoteKind.UNSURE, 0.003)
     effects = node.tick(0.003 + SAMPLE_WAIT_MIN_S)
     assert lost.flow not in node.board.searches
     assert lost.flow not in node.board.flows
     assert not resets(effects)
-    tell(node, "10.0.0.2", lost, NoteKind.PRESENT, 0.3)
+    send_agent_note(node, "10.0.0.2", lost, NoteKind.PRESENT, 0.3)
     assert node.board.flows[lost.flow].server.entry.server_id == "s2"
 
 
@@ -142,7 +146,7 @@
     node.on_caller(data, 0.01)
     note = notes.to_balancer(NoteKind.RETURNED, Load())
     effects = node.on_agent(host, crafting.with_note(data, note), 0.012)
-    asked = asked_agents(effects)
+    asked = queried_agents(effects)
     assert asked
     assert host not in asked
 
@@ -152,7 +156,7 @@
     effects = node.on_caller(lost, now)
     for number in range(1, servers + 1):
         host = f"10.0.0.{number}"
-        effects = tell_flow(node, host, lost, NoteKind.ABSENT, now + 0.002)
+        effects = answer_query(node, host, lost, NoteKind.ABSENT, now + 0.002)
     return effects
 
 
@@ -186,7 +190,7 @@
     node.fleet.on_entry(entry(3), 5, 5.008)
     effects = confirm(node, True, 5.008)
     assert not resets(effects)
-    assert asked_agents(effects) == ["10.0.0.3"]
+    assert queried_agents(effects) == ["10.0.0.3"]
 
 
 def test_confirmation_requested_before_the_search_is_not_used():
@@ -253,14 +257,14 @@
     sampled = []
     for number in range(1, 9):
         host = f"10.0.0.{number}"
-        effects = tell_flow(node, host, lost, NoteKind.UNSURE, 5.002)
-        sampled += tried_agents(effects)
+        effects = answer_query(node, host, lost, NoteKind.UNSURE, 5.002)
+        sampled += sample_packets(effects)
     kinds = {notes.kind_of(segment.note) for _, segment in sampled}
-    assert (len(sampled), kinds) == (8, {NoteKind.TRY})
+    assert (len(sampled), kinds) == (8, {NoteKind.SAMPLE})
     assert {segment.size for _, segment in sampled} == {1}
     effects = []
     for host, segment in sampled:
-        effects = tell_outcome(node, host, segment, 5.004)
+        effects = report_sample_absent(node, host, segment, 5.004)
     assert confirms(effects)
     assert len(resets(confirm(node, True, 5.01))) == 1
 
@@ -278,8 +282,8 @@
     node = balancer()
     lost = request(data=b"x", ack=77)
     node.on_caller(lost, 0.0)
-    tell(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
-    effects = tell(node, "10.0.0.3", lost, NoteKind.PRESENT, 0.003)
+    send_agent_note(node, "10.0.0.1", lost, NoteKind.ABSENT, 0.002)
+    effects = send_agent_note(node, "10.0.0.3", lost, NoteKind.PRESENT, 0.003)
     [(_, segment)] = packets(effects)
-    wish = notes.wish_of(segment.note)
+    wish = notes.hints_of(segment.note)
     assert (wish.objective_s, wish.priority) == (0.225, 2)
--- a/notchhoist/flows/balancer/tests/test_flow_queries.py
+++ b/notchhoist/flows/balancer/tests/test_flow_queries.py
@@ -11,9 +11,9 @@
 from notchhoist.flows.model.effects import SendPeer
 from notchhoist.flows.model.messages import FlowsAsk, FlowsTell, LoadTell
 from notchhoist.flows.model.records import Count
-from notchhoist.flows.tests import agents
-from notchhoist.flows.tests.agents import START, TAG, to_backend
-from notchhoist.flows.tests.balancing import balancer
+from notchhoist.flows.tests import agent_harness
+from notchhoist.flows.tests.agent_harness import START, TAG, to_backend
+from notchhoist.flows.tests.balancer_harness import balancer
 from notchhoist.flows.tests.crafting import CODEC, bounced, request
 
 HOST = "10.0.0.1"
@@ -124,11 +124,13 @@
 
 
 def test_agent_answers_about_several_flows_at_once():
-    node = agents.agent()
-    agents.accept(node, 1)
-    agents.ask(node, 1)
+    node = agent_harness.agent()
+    agent_harness.accept(node, 1)
+    agent_harness.send_request(node, 1)
     heads = tuple(
-        CODEC.head_with_note(request(port=port, ack=agents.SERVER_SEQ + 1), 0)
+        CODEC.header_with_note(
+            request(port=port, ack=agent_harness.SERVER_SEQ + 1), 0
+        )
         for port in (1, 2, 3)
     )
     [effect] = node.on_peer("10.0.1.1", FlowsAsk(7, TAG, heads), START)
@@ -137,7 +139,7 @@
 
 
 def test_samples_go_to_the_server_and_outcomes_are_batched():
-    node = agents.agent(known=False)
+    node = agent_harness.agent(known=False)
     lost = [request(data=b"x", port=port) for port in (2, 3)]
     samples = tuple(segment.raw for segment in lost)
     effects = node.on_peer("10.0.1.1", FlowsAsk(7, TAG, (), samples), START)
@@ -151,7 +153,7 @@
 
 
 def test_malformed_packets_in_a_query_are_counted():
-    node = agents.agent()
+    node = agent_harness.agent()
     ask = FlowsAsk(7, TAG, (b"short",), (b"also",))
     [effect] = node.on_peer("10.0.1.1", ask, START)
     assert effect.message == FlowsTell(7)
--- a/notchhoist/flows/balancer/tests/test_idle_flows.py
+++ b/notchhoist/flows/balancer/tests/test_idle_flows.py
@@ -13,12 +13,12 @@
     has_exited,
 )
 from notchhoist.flows.model import notes
-from notchhoist.flows.model.effects import CheckHost, Reach, SendPeer
-from notchhoist.flows.model.fleet import FOREVER, Server
+from notchhoist.flows.model.effects import CheckHost, ConnectResult, SendPeer
+from notchhoist.flows.model.fleet import NEVER, Server
 from notchhoist.flows.model.messages import LoadAsk, LoadTell
 from notchhoist.flows.model.notes import NoteKind
 from notchhoist.flows.model.records import Count
-from notchhoist.flows.tests.balancing import balancer, open_flow, packets
+from notchhoist.flows.tests.balancer_harness import balancer, open_flow, packets
 from notchhoist.flows.tests.crafting import entry, request
 
 
@@ -43,7 +43,9 @@
             for effect in effects:
                 host = getattr(effect, "host", "")
                 if isinstance(effect, CheckHost):
-                    self.node.on_host_checked(host, Reach.ACCEPTED, self.now)
+                    self.node.on_host_checked(
+                        host, ConnectResult.ACCEPTED, self.now
+                    )
                 elif isinstance(effect, SendPeer) and isinstance(
                     effect.message, LoadAsk
                 ):
@@ -71,7 +73,7 @@
         fleet.host
     ] * FLOW_PROBES_PER_CAUSE
     kinds = {notes.kind_of(segment.note) for _, segment in fleet.sent}
-    assert kinds == {NoteKind.HELD}
+    assert kinds == {NoteKind.FORWARD}
 
 
 def test_each_removal_of_an_entry_causes_new_flow_probes():
@@ -165,7 +167,7 @@
         (True, 5.0, 3.0, 5.2 + ANNOUNCED_EXIT_S),
         (False, 5.0, 0.0, 5.0 + UNANNOUNCED_EXIT_S),
         (False, 5.0, 5.0, 7.2 + UNANNOUNCED_EXIT_S),
-        (False, FOREVER, 0.0, FOREVER),
+        (False, NEVER, 0.0, NEVER),
     ],
 )
 def test_when_a_server_and_its_agent_count_as_exited(
@@ -179,4 +181,4 @@
         server.checked_at = now = tenths / 10
         if has_exited(server, failed_at, now):
             ended.append(now)
-    assert min(ended, default=FOREVER) == pytest.approx(ends_at, abs=0.11)
+    assert min(ended, default=NEVER) == pytest.approx(ends_at, abs=0.11)
--- a/notchhoist/flows/balancer/tests/test_isolation.py
+++ b/notchhoist/flows/balancer/tests/test_isolation.py
@@ -3,7 +3,7 @@
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model.effects import (
     CheckHost,
-    Reach,
+    ConnectResult,
     SendCaller,
     SendPeer,
 )
@@ -34,7 +34,7 @@
             if isinstance(effect, CheckHost):
                 self.answer(
                     self.node.on_host_checked(
-                        effect.host, Reach.SILENT, self.now
+                        effect.host, ConnectResult.SILENT, self.now
                     )
                 )
             if not isinstance(effect, SendPeer):
--- a/notchhoist/flows/balancer/tests/test_liveness.py
+++ b/notchhoist/flows/balancer/tests/test_liveness.py
@@ -10,9 +10,9 @@
     ANNOUNCED_EXIT_S,
     UNANNOUNCED_EXIT_S,
 )
-from notchhoist.flows.model.effects import CheckHost, Reach, SendPeer
+from notchhoist.flows.model.effects import CheckHost, ConnectResult, SendPeer
 from notchhoist.flows.model.messages import LoadTell
-from notchhoist.flows.tests.balancing import (
+from notchhoist.flows.tests.balancer_harness import (
     balancer,
     open_flow,
     packets,
@@ -64,7 +64,7 @@
     An agent that is stopped as planned announces it only to the balancers that
     it heard lately.
     """
-    silent = SilentAgent(Reach.REFUSED)
+    silent = SilentAgent(ConnectResult.REFUSED)
     silent.run(8.0)
     assert silent.resets == 0
     assert not silent.node.board.by_host[silent.host].lost
@@ -75,14 +75,14 @@
 
 
 def test_flows_of_a_host_that_does_not_answer_are_reset():
-    silent = SilentAgent(Reach.SILENT)
+    silent = SilentAgent(ConnectResult.SILENT)
     silent.run(1.5)
     assert silent.resets == 1
 
 
 def test_flows_of_a_paused_agent_are_reset():
     """The kernel accepts connections while a process is paused."""
-    silent = SilentAgent(Reach.ACCEPTED)
+    silent = SilentAgent(ConnectResult.ACCEPTED)
     silent.run(1.5)
     assert silent.resets == 1
 
@@ -94,9 +94,9 @@
 
 
 def test_a_host_that_dies_after_a_refusal_is_declared_lost():
-    silent = SilentAgent(Reach.REFUSED)
+    silent = SilentAgent(ConnectResult.REFUSED)
     silent.run(2.0)
-    silent.reach = Reach.SILENT
+    silent.reach = ConnectResult.SILENT
     silent.run(2.0 + AWAY_AFTER_REFUSAL_S - 0.1)
     assert silent.resets == 0
     silent.run(2.0 + AWAY_AFTER_REFUSAL_S + 0.2)
@@ -126,10 +126,12 @@
     The platform had stopped the agent after its server, and the host refused
     connections from then on.
     """
-    silent = SilentAgent(Reach.REFUSED)
+    silent = SilentAgent(ConnectResult.REFUSED)
     silent.run(0.5)
     publish(silent, draining=True, listed=False)
-    began = silent.node.board.by_host[silent.host].probed_at or silent.now
+    began = (
+        silent.node.board.by_host[silent.host].unanswered_probe_at or silent.now
+    )
     silent.run(began + ANNOUNCED_EXIT_S - 0.1)
     assert silent.resets == 0
     silent.run(began + ANNOUNCED_EXIT_S + 0.3)
@@ -138,7 +140,7 @@
 
 
 def test_an_agent_of_a_server_that_did_not_drain_is_awaited_longer():
-    silent = SilentAgent(Reach.REFUSED)
+    silent = SilentAgent(ConnectResult.REFUSED)
     silent.run(0.5)
     publish(silent, draining=False, listed=False)
     silent.run(0.5 + UNANNOUNCED_EXIT_S - 0.1)
@@ -151,7 +153,7 @@
 def test_an_agent_that_may_restart_beside_a_live_server_is_awaited(
     draining,
 ):
-    silent = SilentAgent(Reach.REFUSED)
+    silent = SilentAgent(ConnectResult.REFUSED)
     silent.run(0.5)
     publish(silent, draining, listed=True)
     silent.run(8.0)
--- a/notchhoist/flows/balancer/tests/test_locality.py
+++ b/notchhoist/flows/balancer/tests/test_locality.py
@@ -9,7 +9,7 @@
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.flows.model.notes import Load, NoteKind
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.balancing import packets, resets
+from notchhoist.flows.tests.balancer_harness import packets, resets
 from notchhoist.flows.tests.crafting import SYN, entry, request, with_note
 
 ZONES = {"a": 4, "b": 4, "c": 4}
@@ -27,7 +27,7 @@
     ]
     node.fleet.on_listing(entries, 1, 0.0)
     for server in node.board.servers.values():
-        server.pace_ms = pace_ms
+        server.service_time_ms = pace_ms
         server.heard_at = 0.0
         trip_s = 0.0004 if server.entry.zone == "a" else far_s
         for _ in range(MIN_SAMPLES):
@@ -40,7 +40,7 @@
 
 
 def answer(node, syn, host, kind, running, now):
-    pace_ms = node.board.by_host[host].pace_ms
+    pace_ms = node.board.by_host[host].service_time_ms
     reply_note = notes.to_balancer(kind, Load(running, running, pace_ms))
     return node.on_agent(host, with_note(syn, reply_note), now)
 
@@ -55,7 +55,7 @@
         zones.append(zone_of(node, host))
         kind = notes.kind_of(sent.note)
         if kind is not NoteKind.PLACE_IF_FREE or not is_busy(host):
-            answer(node, syn, host, NoteKind.TAKEN, running, 1.1)
+            answer(node, syn, host, NoteKind.ACCEPTED, running, 1.1)
             return zones, kind
         effects = answer(node, syn, host, NoteKind.BUSY, running, 1.001)
 
@@ -101,7 +101,7 @@
     node = balancer()
     for server in node.board.servers.values():
         if server.entry.zone == "a" and server.entry.host != "10.0.0.1":
-            server.pace_ms = 90
+            server.service_time_ms = 90
     zones, _ = offer_until_accepted(
         node, is_busy=lambda host: host == "10.0.0.1"
     )
@@ -182,6 +182,6 @@
     [(far, _)] = packets(answer(node, syn, near, NoteKind.BUSY, 50, 1.001))
     assert zone_of(node, far) == "b"
     assert not packets(node.tick(1.07))
-    answer(node, syn, far, NoteKind.TAKEN, 1, 1.081)
+    answer(node, syn, far, NoteKind.ACCEPTED, 1, 1.081)
     assert not resets(node.tick(1.3))
     assert node.board.flows[syn.flow].accepted
--- a/notchhoist/flows/balancer/tests/test_settled.py
+++ b/notchhoist/flows/balancer/tests/test_settled.py
@@ -14,7 +14,11 @@
 from notchhoist.flows.model.effects import ConfirmView
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.flows.model.notes import NoteKind
-from notchhoist.flows.tests.balancing import balancer, resets, tell_flow
+from notchhoist.flows.tests.balancer_harness import (
+    answer_query,
+    balancer,
+    resets,
+)
 from notchhoist.flows.tests.crafting import entry, request
 
 LOST = request(data=b"x", ack=77)
@@ -33,7 +37,7 @@
 def wants_confirmation(node, now=NOW):
     effects = node.on_caller(LOST, now)
     for host in ("10.0.0.1", "10.0.0.2"):
-        effects = tell_flow(node, host, LOST, NoteKind.ABSENT, now)
+        effects = answer_query(node, host, LOST, NoteKind.ABSENT, now)
     return any(isinstance(item, ConfirmView) for item in effects)
 
 
--- a/notchhoist/flows/balancer/tests/test_splits.py
+++ b/notchhoist/flows/balancer/tests/test_splits.py
@@ -18,15 +18,15 @@
 from notchhoist.flows.model.view import ViewChange
 from notchhoist.flows.published.reroutings import REROUTE_KEPT_S
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.agents import agent
-from notchhoist.flows.tests.balancing import (
-    asked_agents,
+from notchhoist.flows.tests.agent_harness import agent
+from notchhoist.flows.tests.balancer_harness import (
+    answer_query,
     packets,
+    queried_agents,
+    report_sample_absent,
     resets,
-    tell,
-    tell_flow,
-    tell_outcome,
-    tried_agents,
+    sample_packets,
+    send_agent_note,
 )
 from notchhoist.flows.tests.crafting import CODEC, SYN, entry, request
 
@@ -63,10 +63,10 @@
         The last effects, and the hosts that were queried.
     """
     effects = node.on_caller(LOST, now)
-    asked = asked_agents(effects)
+    asked = queried_agents(effects)
     for host in deny:
-        effects = tell_flow(node, host, LOST, NoteKind.ABSENT, now + 0.01)
-        asked += asked_agents(effects)
+        effects = answer_query(node, host, LOST, NoteKind.ABSENT, now + 0.01)
+        asked += queried_agents(effects)
     return effects, asked
 
 
@@ -84,7 +84,7 @@
     effects, asked = search_lost_flow(node, [NEW_HOST])
     assert asked == [NEW_HOST, OLD_HOST]
     assert queried_tags(effects) == {OLD_HOST: service_tag(OLD)}
-    effects = tell_flow(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
+    effects = answer_query(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
     [(host, segment)] = packets(effects)
     assert (host, notes.tag_of(segment)) == (OLD_HOST, service_tag(OLD))
 
@@ -92,7 +92,7 @@
 def test_agent_accepts_the_packet_of_a_resumed_flow():
     node = balancer(split_route((OLD, 0), (NEW, 1)))
     search_lost_flow(node, [NEW_HOST])
-    effects = tell_flow(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
+    effects = answer_query(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
     [sent] = [item for item in effects if isinstance(item, SendAgent)]
     agent_node = agent(known=False)
     agent_node.on_balancer(
@@ -104,18 +104,18 @@
 def test_sample_to_an_agent_of_another_service_has_its_own_tag():
     node = balancer(split_route((OLD, 0), (NEW, 1)))
     search_lost_flow(node, [NEW_HOST])
-    effects = tell_flow(node, OLD_HOST, LOST, NoteKind.UNSURE, 2.02)
-    [(host, segment)] = tried_agents(effects)
+    effects = answer_query(node, OLD_HOST, LOST, NoteKind.UNSURE, 2.02)
+    [(host, segment)] = sample_packets(effects)
     assert (host, notes.tag_of(segment)) == (OLD_HOST, service_tag(OLD))
     assert queried_tags(effects)[OLD_HOST] == service_tag(OLD)
-    assert not resets(tell_outcome(node, OLD_HOST, segment, 2.03))
+    assert not resets(report_sample_absent(node, OLD_HOST, segment, 2.03))
 
 
 def test_flow_is_reset_only_if_absent_at_every_service():
     node = balancer(split_route((OLD, 1), (NEW, 1)), services=(OLD, NEW))
     search_lost_flow(node, [OLD_HOST])
     assert not resets(node.tick(2.01 + UNCONFIRMED_RESET_DELAY_S))
-    tell_flow(node, NEW_HOST, LOST, NoteKind.ABSENT, 2.8)
+    answer_query(node, NEW_HOST, LOST, NoteKind.ABSENT, 2.8)
     assert len(resets(node.tick(2.8 + UNCONFIRMED_RESET_DELAY_S))) == 1
 
 
@@ -206,7 +206,7 @@
     search_lost_flow(node, [OLD_HOST])
     moved = entry(1, service=THIRD, server_id="s9", created=9)
     node.fleet.on_entry(moved, 5, 2.02)
-    effects = tell_flow(node, NEW_HOST, LOST, NoteKind.ABSENT, 2.03)
+    effects = answer_query(node, NEW_HOST, LOST, NoteKind.ABSENT, 2.03)
     assert queried_tags(effects)[OLD_HOST] == service_tag(THIRD)
 
 
@@ -234,7 +234,7 @@
     node.fleet.on_removed("s1", 5, 1.0)
     change_routes(node, split_route((NEW, 1)))
     assert search_lost_flow(node, [NEW_HOST])[1] == [NEW_HOST, OLD_HOST]
-    effects = tell_flow(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
+    effects = answer_query(node, OLD_HOST, LOST, NoteKind.PRESENT, 2.02)
     assert packets(effects)
 
 
@@ -242,11 +242,11 @@
     node = balancer(split_route((OLD, 1), (NEW, 1)), services=(OLD, NEW))
     [(host, _)] = packets(node.on_caller(request(flags=SYN), 2.0))
     other = NEW_HOST if host == OLD_HOST else OLD_HOST
-    tell(node, host, request(flags=SYN), NoteKind.TAKEN, 2.001)
+    send_agent_note(node, host, request(flags=SYN), NoteKind.ACCEPTED, 2.001)
     data = request(data=b"x")
     note = notes.to_balancer(NoteKind.RETURNED, notes.Load())
     effects = node.on_agent(host, crafting.with_note(data, note), 2.01)
-    assert asked_agents(effects) == [other]
+    assert queried_agents(effects) == [other]
 
 
 def test_search_ignores_the_service_that_took_over_the_address():
@@ -254,13 +254,13 @@
     node = balancer(split_route((OLD, 1)), services=(OLD,))
     node.fleet.on_entry(entry(4, service=OLD), 2, 0.0)
     [(host, _)] = packets(node.on_caller(request(flags=SYN), 2.0))
-    tell(node, host, request(flags=SYN), NoteKind.TAKEN, 2.001)
+    send_agent_note(node, host, request(flags=SYN), NoteKind.ACCEPTED, 2.001)
     number = int(host.rsplit(".")[-1])
     taken = entry(number, service=THIRD, server_id="s9", created=9)
     node.fleet.on_entry(taken, 5, 2.01)
     note = notes.to_balancer(NoteKind.RETURNED, notes.Load())
     data = crafting.with_note(request(data=b"x"), note)
-    [asked] = asked_agents(node.on_agent(host, data, 2.02))
+    [asked] = queried_agents(node.on_agent(host, data, 2.02))
     assert node.board.by_host[asked].entry.service == OLD
 
 
@@ -280,7 +280,7 @@
     node = balancer(split_route((NEW, 1)), other)
     search_lost_flow(node, [NEW_HOST])
     assert node.finder.scope.wide_queries == 2
-    tell_flow(node, THIRD_HOST, LOST, NoteKind.PRESENT, 2.02)
+    answer_query(node, THIRD_HOST, LOST, NoteKind.PRESENT, 2.02)
     assert node.finder.scope.wide_queries == 0
 
 
--- a/notchhoist/flows/balancer/tests/test_targeting.py
+++ b/notchhoist/flows/balancer/tests/test_targeting.py
@@ -6,7 +6,7 @@
 from notchhoist.flows.balancer.targeting import service_for
 from notchhoist.flows.decisions.server_selection import UNLISTED_USE_MAX_S
 from notchhoist.flows.tests import crafting
-from notchhoist.flows.tests.balancing import packets, resets
+from notchhoist.flows.tests.balancer_harness import packets, resets
 from notchhoist.flows.tests.crafting import SYN, entry, request
 
 FIRST, SECOND, THIRD = "hallbook", "scoredrop", "tidepool"
@@ -69,7 +69,7 @@
     node, route = balancer(HALVES, servers(FIRST, SECOND))
     before = chosen_services(node, route)
     full = node.board.servers["s2"]
-    full.running, full.full_until, full.suspected = 500, NOW + 9, True
+    full.running, full.at_cold_bound_until, full.suspected = 500, NOW + 9, True
     assert chosen_services(node, route) == before
 
 
--- a/notchhoist/flows/boards/agent_board.py
+++ b/notchhoist/flows/boards/agent_board.py
@@ -3,8 +3,8 @@
 from msgspec import Struct, field
 
 from notchhoist.flows.decisions.queued_requests import QueuedRequest
+from notchhoist.flows.model.backend_flows import BackendFlow
 from notchhoist.flows.model.effects import Effect
-from notchhoist.flows.model.held import HeldFlow
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
 from notchhoist.flows.model.messages import ServerState
 from notchhoist.flows.model.records import Records, Timing
@@ -52,7 +52,7 @@
     tag: int
     started_at: float
     knows_all_flows: bool = False
-    flows: dict[bytes, HeldFlow] = field(default_factory=dict)
+    flows: dict[bytes, BackendFlow] = field(default_factory=dict)
     slots: int = 0
     active: set[bytes] = field(default_factory=set)
     waiting: dict[bytes, QueuedRequest] = field(default_factory=dict)
@@ -91,7 +91,7 @@
         """Whether the backend server has announced that it drains."""
         return self.state is not None and self.state.draining
 
-    def idle_flows(self) -> list[tuple[bytes, HeldFlow]]:
+    def idle_flows(self) -> list[tuple[bytes, BackendFlow]]:
         """Returns the idle flows, by key; see ``is_idle``."""
         return [
             (flow, held)
@@ -99,17 +99,17 @@
             if self.is_idle(flow, held)
         ]
 
-    def is_idle(self, flow: bytes, held: HeldFlow) -> bool:
+    def is_idle(self, flow: bytes, held: BackendFlow) -> bool:
         """Tells whether a flow is idle.
 
         The server has shown it open and has got all its packets. A copy of its
         last packet may serve as a flow probe, as it neither closes nor resets
         the flow.
         """
-        sample = held.sample
+        sample = held.last_packet
         if sample is None or sample.closes or sample.resets:
             return False
-        return held.was_open_here and flow not in self.waiting
+        return held.is_confirmed_open and flow not in self.waiting
 
     def age_s(self, now: float) -> float:
         """Returns how long ago the agent started, seconds."""
--- a/notchhoist/flows/decisions/completeness.py
+++ b/notchhoist/flows/decisions/completeness.py
@@ -45,7 +45,7 @@
     """
     if started_at > placing_since + RESTART_MIN_S:
         return False
-    return bool(servers) and all(server.began_cold for server in servers)
+    return bool(servers) and all(server.first_seen_cold for server in servers)
 
 
 def is_list_stable(
@@ -100,4 +100,4 @@
         return True
     if now - store_failed_at < REANNOUNCE_S:
         return False
-    return bool(servers) and all(server.began_cold for server in servers)
+    return bool(servers) and all(server.first_seen_cold for server in servers)
--- a/notchhoist/flows/decisions/early_packets.py
+++ b/notchhoist/flows/decisions/early_packets.py
@@ -12,8 +12,8 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
+from notchhoist.flows.model.request_hints import ATTEMPT_TIMEOUT_S
 from notchhoist.flows.model.segments import Segment
-from notchhoist.flows.model.wishes import TRY_S
 
 LAST_RETRANSMISSION_S = 0.6
 """Time from the first copy of an opening packet to the last, seconds. A
@@ -51,7 +51,7 @@
             return self.received_at + DATA_KEPT_S
         return (
             self.received_at
-            + TRY_S
+            + ATTEMPT_TIMEOUT_S
             - ACCEPTANCE_RETURN_S
             - self.segment.waited_s
         )
@@ -82,7 +82,10 @@
         Args:
             since: When the first packet of the attempt was sent, seconds.
         """
-        return since - TRY_S + LAST_RETRANSMISSION_S < self.receiving_since
+        return (
+            since - ATTEMPT_TIMEOUT_S + LAST_RETRANSMISSION_S
+            < self.receiving_since
+        )
 
     def keep(self, segment: Segment, now: float) -> bool:
         """Keeps a packet, or forgets a flow that its caller resets.
--- a/notchhoist/flows/decisions/queued_requests.py
+++ b/notchhoist/flows/decisions/queued_requests.py
@@ -8,9 +8,9 @@
 
 from msgspec import Struct
 
-from notchhoist.flows.model.held import HeldFlow
+from notchhoist.flows.model.backend_flows import BackendFlow
+from notchhoist.flows.model.request_hints import RETRY_DELAY_MAX_S, RequestHints
 from notchhoist.flows.model.segments import Segment
-from notchhoist.flows.model.wishes import RETRY_S, Wish
 
 DEFAULT_WAIT_MAX_S = 0.9
 """A caller whose timeout is not known is assumed to wait this long, seconds:
@@ -59,22 +59,22 @@
     """
 
     flow: bytes
-    held: HeldFlow
+    held: BackendFlow
     segments: list[Segment]
     arrived_at: float
-    wish: Wish
+    wish: RequestHints
     unopened: bool = False
     closes: bool = False
 
     @property
     def due(self) -> float:
         """When its latency objective ends, seconds."""
-        return self.arrived_at - self.wish.age_s + self.wish.objective_s
+        return self.arrived_at - self.wish.waited_s + self.wish.objective_s
 
     @property
     def expires_at(self) -> float:
         """When its caller's timeout ends, known or assumed, seconds."""
-        left_s = self.wish.left_s or self._default_left_s()
+        left_s = self.wish.remaining_s or self._default_left_s()
         return self.arrived_at + left_s
 
     def _default_left_s(self) -> float:
@@ -94,13 +94,13 @@
     def safe_start(self, now: float, pace_s: float) -> float:
         """Returns when it should get a slot to be answered in time, seconds.
 
-        A caller that may be on a retry has ``RETRY_S`` less left. It is first
-        served as if it were; if it still waits after that time, this is its
-        first connection attempt.
+        A caller that may be on a retry has ``RETRY_DELAY_MAX_S`` less left. It
+        is first served as if it were; if it still waits after that time, this
+        is its first connection attempt.
         """
         ends_at = self.expires_at
-        if self.wish.may_be_retry and now <= ends_at - RETRY_S:
-            ends_at -= RETRY_S
+        if self.wish.may_be_retry and now <= ends_at - RETRY_DELAY_MAX_S:
+            ends_at -= RETRY_DELAY_MAX_S
         return ends_at - SAFE_START_SERVICE_TIMES * pace_s
 
     def shows_abandonment(self, segment: Segment, now: float) -> bool:
--- a/notchhoist/flows/decisions/queueing.py
+++ b/notchhoist/flows/decisions/queueing.py
@@ -18,7 +18,7 @@
 
 from notchhoist.flows.decisions.queued_requests import QueuedRequest
 from notchhoist.flows.model.mechanisms import ALL, Mechanisms
-from notchhoist.flows.model.wishes import Wish
+from notchhoist.flows.model.request_hints import RequestHints
 
 FULL_LOAD = 1.1
 SPARE_LOAD = 0.9
@@ -53,14 +53,14 @@
     recent_arrivals: float = 0.0
     arrived_at: float = float("-inf")
 
-    def note_arrival(self, wish: Wish, now: float) -> None:
+    def note_arrival(self, wish: RequestHints, now: float) -> None:
         """Counts a request if it is new.
 
         Args:
             wish: Hints on the request and its caller.
             now: Runtime clock, seconds.
         """
-        if wish.may_be_retry or wish.age_s > NEW_REQUEST_MAX_AGE_S:
+        if wish.may_be_retry or wish.waited_s > NEW_REQUEST_MAX_AGE_S:
             return
         self.recent_arrivals = self._decayed_arrivals(now) + 1.0
         self.arrived_at = now
--- a/notchhoist/flows/decisions/server_selection.py
+++ b/notchhoist/flows/decisions/server_selection.py
@@ -134,7 +134,9 @@
     listed = [server for server in accepting if server.listed]
     if len(listed) >= LISTED_MIN_SHARE * len(accepting):
         accepting = listed
-    accepting = [server for server in accepting if now >= server.full_until]
+    accepting = [
+        server for server in accepting if now >= server.at_cold_bound_until
+    ]
     answering = [server for server in accepting if not server.suspected]
     return answering or [server for server in accepting if not server.lost]
 
@@ -148,8 +150,8 @@
             ms; 0 if unknown.
     """
     slots = float(max(1, server.entry.slots))
-    if median_ms and server.pace_ms > OUTLIER_RATIO * median_ms:
-        slots *= median_ms / server.pace_ms
+    if median_ms and server.service_time_ms > OUTLIER_RATIO * median_ms:
+        slots *= median_ms / server.service_time_ms
     return slots
 
 
@@ -183,7 +185,9 @@
         return servers[int(draw() * len(servers))]
     if kind is RequestKind.UPLOAD and not uses.uploads_near:
         kind = RequestKind.ONCE_ONLY
-    median_ms = median([item.pace_ms for item in servers if item.pace_ms])
+    median_ms = median(
+        [item.service_time_ms for item in servers if item.service_time_ms]
+    )
     if not uses.pace:
         median_ms = 0.0
     slot_counts = [effective_slots(server, median_ms) for server in servers]
--- a/notchhoist/flows/decisions/tests/test_early_packets.py
+++ b/notchhoist/flows/decisions/tests/test_early_packets.py
@@ -12,7 +12,7 @@
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import SendAgent
 from notchhoist.flows.model.records import Count
-from notchhoist.flows.model.wishes import TRY_S
+from notchhoist.flows.model.request_hints import ATTEMPT_TIMEOUT_S
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.crafting import CODEC, SYN, request
 
@@ -40,7 +40,7 @@
     [segment] = early.take(10.0 + DATA_KEPT_S)
     assert segment.opens
     early.keep(opening(port=1), 10.0)
-    assert not early.take(10.0 + TRY_S)
+    assert not early.take(10.0 + ATTEMPT_TIMEOUT_S)
 
 
 def test_packet_of_a_flow_that_its_caller_resets_is_dropped():
@@ -58,7 +58,7 @@
     ]
     kept = [early.keep(segment, 10.0) for segment in flows]
     assert kept.count(False) == 1
-    assert early.keep(flows[-1], 10.0 + TRY_S)
+    assert early.keep(flows[-1], 10.0 + ATTEMPT_TIMEOUT_S)
 
 
 def test_attempt_may_be_a_retry_only_if_a_previous_one_was_unseen():
@@ -87,8 +87,8 @@
     assert not node.on_caller(opening(copies=2), 10.1)
     effects = publish(node, 10.3)
     [sent] = [item for item in effects if isinstance(item, SendAgent)]
-    wish = notes.wish_of(CODEC.decode_request(sent.datagram).note)
-    assert wish.age_s == pytest.approx(0.7)
+    wish = notes.hints_of(CODEC.decode_request(sent.datagram).note)
+    assert wish.waited_s == pytest.approx(0.7)
     assert wish.may_be_retry
     assert node.board.records.counters[Count.KEPT_EARLY] == 1
 
--- a/notchhoist/flows/decisions/tests/test_queueing.py
+++ b/notchhoist/flows/decisions/tests/test_queueing.py
@@ -10,8 +10,8 @@
     has_urgent,
     unservable,
 )
-from notchhoist.flows.model.held import HeldFlow, Phase
-from notchhoist.flows.model.wishes import RETRY_S, Wish
+from notchhoist.flows.model.backend_flows import BackendFlow, Phase
+from notchhoist.flows.model.request_hints import RETRY_DELAY_MAX_S, RequestHints
 
 OBJECTIVE_S = 0.15
 TIMEOUT_S = 2.5
@@ -23,14 +23,14 @@
 def waiting(arrived_at=0.0, age_s=0.0, **fields):
     priority = fields.pop("priority", 0)
     retry = fields.pop("may_be_retry", False)
-    wish = Wish(
+    wish = RequestHints(
         objective_s=OBJECTIVE_S,
-        age_s=age_s,
+        waited_s=age_s,
         priority=priority,
-        left_s=TIMEOUT_S - age_s,
+        remaining_s=TIMEOUT_S - age_s,
         may_be_retry=retry,
     )
-    held = HeldFlow(Phase.OPEN, "", arrived_at, arrived_at)
+    held = BackendFlow(Phase.OPEN, "", arrived_at, arrived_at)
     return QueuedRequest(b"", held, [], arrived_at, wish, True, **fields)
 
 
@@ -73,7 +73,7 @@
 def test_possible_retry_is_served_before_its_shorter_timeout():
     possible_retry = waiting(may_be_retry=True)
     first_attempt = waiting()
-    just_before = TIMEOUT_S - RETRY_S - 0.1
+    just_before = TIMEOUT_S - RETRY_DELAY_MAX_S - 0.1
     assert has_urgent([possible_retry], just_before, PACE_S, SLOTS)
     assert not has_urgent([first_attempt], just_before, PACE_S, SLOTS)
     assert not has_urgent([possible_retry], just_before + 0.2, PACE_S, SLOTS)
--- a/notchhoist/flows/decisions/tests/test_server_selection.py
+++ b/notchhoist/flows/decisions/tests/test_server_selection.py
@@ -61,8 +61,8 @@
 
 
 def test_slow_server_counts_as_having_fewer_slots():
-    slow, other = server(1, pace_ms=400), server(2, pace_ms=60)
-    third = server(3, pace_ms=60)
+    slow, other = server(1, service_time_ms=400), server(2, service_time_ms=60)
+    third = server(3, service_time_ms=60)
     for item in (slow, other, third):
         item.flows = 10
     assert best([slow, other, third]) is not slow
@@ -80,8 +80,11 @@
 
 
 def test_upload_leaves_its_zone_if_the_local_server_fails():
-    failing = server(1, pace_ms=400)
-    others = [server(2, "b", pace_ms=24), server(3, "c", pace_ms=24)]
+    failing = server(1, service_time_ms=400)
+    others = [
+        server(2, "b", service_time_ms=24),
+        server(3, "c", service_time_ms=24),
+    ]
     assert best([failing, *others], RequestKind.UPLOAD) in others
 
 
--- a/notchhoist/flows/decisions/tests/test_zone_distance.py
+++ b/notchhoist/flows/decisions/tests/test_zone_distance.py
@@ -77,7 +77,7 @@
     made = []
     for number, (zone, flows, running) in enumerate(loads, 1):
         item = Server(entry(number, zone, slots=1), 0, 0.0)
-        item.flows, item.running, item.pace_ms = flows, running, 15
+        item.flows, item.running, item.service_time_ms = flows, running, 15
         made.append(item)
     return made
 
--- a/notchhoist/flows/model/__init__.py
+++ b/notchhoist/flows/model/__init__.py
@@ -4,12 +4,13 @@
 
 * ``mechanisms``: switches that disable mechanisms.
 * ``segments``: a decoded packet, and the ``Protocol`` of the packet codec.
-* ``wishes``: hints on a flow's requests and on how long their caller waits.
+* ``request_hints``: hints on a flow's requests and on how long their caller
+  waits.
 * ``notes``: the bytes of a packet that balancers and agents use themselves.
 * ``fleet``: routes and backend servers as the platform publishes them.
 * ``view``: the published state by revision, to send only what changed.
 * ``messages``: control messages between processes.
 * ``effects``: what a node asks its runtime to do.
-* ``held``: the flows of one backend server, as its agent tracks them.
+* ``backend_flows``: the flows of one backend server, as its agent tracks them.
 * ``records``: counters, latencies and decisions for operators.
 """
--- a/notchhoist/flows/model/held.py
+++ b/notchhoist/flows/model/backend_flows.py
@@ -4,13 +4,13 @@
 
 from msgspec import Struct
 
+from notchhoist.flows.model.request_hints import RequestHints
 from notchhoist.flows.model.segments import (
     SEQUENCE_MODULUS,
     Segment,
     is_after,
     is_within,
 )
-from notchhoist.flows.model.wishes import Wish
 
 ACK_WINDOW_BYTES = 1 << 20
 """How far a caller's acknowledgement may follow a server's initial sequence
@@ -18,7 +18,7 @@
 are random in 2**32, so an acknowledgement of another server's data lies in the
 window by chance once in 4,000."""
 
-PACE_GAIN = 0.1
+SERVICE_TIME_GAIN = 0.1
 """Weight of a new sample in the smoothed service time: it covers about the last
 20 samples."""
 
@@ -31,15 +31,15 @@
 0.2 s or more. Data with an old sequence number that arrives sooner was
 reordered on the way, not sent again."""
 
-STUCK_S = 1.5
-"""A request without an answer for this long, seconds, and for ``STUCK_PACES``
+STALLED_REQUEST_S = 1.5
+"""A request without an answer for this long, seconds, and for ``STALLED_REQUEST_SERVICE_TIMES``
 service times, no longer counts as using a slot. Requests take up to six times
 the mean; one request too many at a backend server only waits there."""
 
-STUCK_PACES = 8.0
+STALLED_REQUEST_SERVICE_TIMES = 8.0
 
 
-EXPECTED_S = 0.2
+EXPECTED_REQUEST_S = 0.2
 """How long an offered flow counts as a request, seconds: a caller sends its
 request a round-trip time of 2 to 8 ms after the acceptance, and retransmits it
 after 0.2 s if it was lost."""
@@ -58,8 +58,8 @@
         ACCEPTED: The backend server accepted it; the caller may still choose
             another server.
         OPEN: The caller chose this backend server.
-        TRIED: Unconfirmed: after a restart of the agent, a packet was handed to
-            the server to learn whether the flow is there.
+        UNCONFIRMED: Unconfirmed: after a restart of the agent, a packet was
+            handed to the server to learn whether the flow is there.
         REFUSED: The server accepted it, it never opened, and its caller gets a
             reset. The rest of the handshake must not reach the server now: the
             flow would open there, and the reset would end an open flow.
@@ -69,16 +69,16 @@
     OFFERED = "offered"
     ACCEPTED = "accepted"
     OPEN = "open"
-    TRIED = "tried"
+    UNCONFIRMED = "tried"
     REFUSED = "refused"
     CLOSED = "closed"
 
 
-ENDED = (Phase.CLOSED, Phase.REFUSED)
+ENDED_PHASES = (Phase.CLOSED, Phase.REFUSED)
 """Phases of ended flows; only a new opening can follow."""
 
 
-class HeldFlow(Struct, eq=False):
+class BackendFlow(Struct, eq=False):
     """A flow at the backend server.
 
     Attributes:
@@ -87,21 +87,22 @@
         since: When it entered its phase, seconds.
         last_at: When it was last used, seconds.
         opening: The opening packet, until the server has answered it.
-        wish: Request hints that came with the offer, or None. They are kept
+        hints: Request hints that came with the offer, or None. They are kept
             because the balancer that forwards the request may not know them.
-        wished_at: When those hints came, seconds.
+        hints_received_at: When those hints came, seconds.
         server_seq: The backend server's initial sequence number.
         request_end: Sequence number after the newest request data.
         running_since: When the unanswered request arrived, or None.
         request_at: When the newest part of that request arrived, seconds.
         sampled: It is known here only from a sample packet, sent to answer a
             balancer's query.
-        sample: The newest packet from the caller, from which a reset is made.
-        shown_at: When the server last sent a packet that shows that the flow is
-            open, seconds.
-        data: The newest packet from the caller that contains data.
-        asked_at: When the last flow probe, a retransmitted packet, was sent to
-            the server, seconds, or None.
+        last_packet: The newest packet from the caller, from which a reset is
+            made.
+        confirmed_open_at: When the server last sent a packet that shows that
+            the flow is open, seconds.
+        last_data_packet: The newest packet from the caller that contains data.
+        flow_probed_at: When the last flow probe, a retransmitted packet, was
+            sent to the server, seconds, or None.
     """
 
     phase: Phase
@@ -109,28 +110,28 @@
     since: float
     last_at: float
     opening: Segment | None = None
-    wish: Wish | None = None
-    wished_at: float = 0.0
+    hints: RequestHints | None = None
+    hints_received_at: float = 0.0
     server_seq: int | None = None
     request_end: int | None = None
     running_since: float | None = None
     request_at: float = 0.0
     sampled: bool = False
-    sample: Segment | None = None
-    shown_at: float = float("-inf")
-    data: Segment | None = None
-    asked_at: float | None = None
+    last_packet: Segment | None = None
+    confirmed_open_at: float = float("-inf")
+    last_data_packet: Segment | None = None
+    flow_probed_at: float | None = None
 
-    def wish_now(self, told: Wish, now: float) -> Wish:
+    def hints_at(self, told: RequestHints, now: float) -> RequestHints:
         """Returns the hints on the first request and its caller.
 
         Args:
             told: Hints that came with the request, used without earlier ones.
             now: Runtime clock, seconds.
         """
-        if self.wish is None:
+        if self.hints is None:
             return told
-        return self.wish.older(now - self.wished_at)
+        return self.hints.aged(now - self.hints_received_at)
 
     def is_busy(self, now: float, stuck_s: float, expected_s: float) -> bool:
         """Tells whether it has a request that runs or is about to arrive.
@@ -145,46 +146,51 @@
         new = self.phase in (Phase.OFFERED, Phase.ACCEPTED)
         return new and now - self.since < expected_s
 
-    def is_young(self, now: float) -> bool:
+    def is_within_idle_timeout(self, now: float) -> bool:
         """Tells whether a running server must still have the flow."""
         return (
             self.phase is Phase.OPEN and now - self.since < IDLE_TIMEOUT_MIN_S
         )
 
     @property
-    def was_open_here(self) -> bool:
+    def is_confirmed_open(self) -> bool:
         """Whether the server itself has shown that it has the open flow."""
-        return self.phase is Phase.OPEN and self.shown_at > float("-inf")
+        return self.phase is Phase.OPEN and self.confirmed_open_at > float(
+            "-inf"
+        )
 
     @property
-    def rests_asked(self) -> bool:
+    def is_idle_since_probe(self) -> bool:
         """Whether its caller has sent nothing since the last flow probe."""
-        return self.asked_at is not None and self.last_at <= self.asked_at
+        return (
+            self.flow_probed_at is not None
+            and self.last_at <= self.flow_probed_at
+        )
 
-    def note_shown(self, segment: Segment, now: float) -> None:
+    def record_server_packet(self, segment: Segment, now: float) -> None:
         """Records what a packet from the server shows about the flow.
 
         An acceptance with another sequence number starts a new flow between the
         same addresses, which its caller may open at another server.
         """
         if not segment.accepts:
-            self.shown_at = now
+            self.confirmed_open_at = now
         elif self.server_seq is not None and segment.seq != self.server_seq:
-            self.shown_at = float("-inf")
-            self.sample = self.data = None
+            self.confirmed_open_at = float("-inf")
+            self.last_packet = self.last_data_packet = None
 
-    def chosen_by(self, segment: Segment) -> bool:
+    def is_chosen_by(self, segment: Segment) -> bool:
         """Tells whether a caller's packet shows that it chose this server."""
         if self.server_seq is None:
             return False
         return is_within(segment.ack, self.server_seq, ACK_WINDOW_BYTES)
 
-    def is_new(self, segment: Segment) -> bool:
+    def is_new_data(self, segment: Segment) -> bool:
         """Tells whether a packet has data of the caller not seen before."""
         end = segment.seq + segment.size
         return self.request_end is None or is_after(end, self.request_end)
 
-    def is_copy(self, segment: Segment, now: float) -> bool:
+    def is_retransmission(self, segment: Segment, now: float) -> bool:
         """Tells whether a packet is a retransmission of the caller's data.
 
         Args:
@@ -192,16 +198,16 @@
             now: Runtime clock, seconds.
         """
         reordered = now - self.request_at < RETRANSMISSION_MIN_S
-        return not reordered and not self.is_new(segment)
+        return not reordered and not self.is_new_data(segment)
 
-    def note_request(self, segment: Segment, now: float) -> None:
+    def record_request(self, segment: Segment, now: float) -> None:
         """Records new data from the caller."""
         self.request_end = (segment.seq + segment.size) % SEQUENCE_MODULUS
         self.request_at = now
         if self.running_since is None:
             self.running_since = now
 
-    def note_received(self, segment: Segment) -> None:
+    def record_ack(self, segment: Segment) -> None:
         """Records which data the server acknowledges.
 
         A restarted agent learns by it which data is a retransmission.
@@ -209,7 +215,7 @@
         if self.request_end is None or is_after(segment.ack, self.request_end):
             self.request_end = segment.ack
 
-    def note_answer(self, now: float) -> float | None:
+    def record_answer(self, now: float) -> float | None:
         """Records data from the server.
 
         Returns:
--- a/notchhoist/flows/model/effects.py
+++ b/notchhoist/flows/model/effects.py
@@ -7,7 +7,7 @@
 from notchhoist.flows.model.messages import PeerMessage
 
 
-class Reach(enum.Enum):
+class ConnectResult(enum.Enum):
     """Result of an attempt to connect to a host.
 
     Attributes:
@@ -71,11 +71,11 @@
     """Checks whether the backend server on this host still listens.
 
     Attributes:
-        sample: A packet that may be sent to it once more, to check whether its
+        packet: A packet that may be sent to it once more, to check whether its
             process takes packets although it accepts no connections; or empty.
     """
 
-    sample: bytes = b""
+    packet: bytes = b""
 
 
 class CheckHost(Struct, frozen=True):
--- a/notchhoist/flows/model/fleet.py
+++ b/notchhoist/flows/model/fleet.py
@@ -7,9 +7,9 @@
 from msgspec.structs import replace
 
 from notchhoist.base.errors import ConfigurationProblem
-from notchhoist.flows.model.wishes import REMAINING_MIN_S, Wish
+from notchhoist.flows.model.request_hints import REMAINING_MIN_S, RequestHints
 
-FOREVER = float("inf")
+NEVER = float("inf")
 
 
 class RequestKind(enum.Enum):
@@ -53,32 +53,34 @@
         return tuple(service for service, _ in self.targets)
 
     @property
-    def splits(self) -> bool:
+    def is_split(self) -> bool:
         """Whether it names several services."""
         return len(self.targets) > 1
 
     @property
-    def long_lived(self) -> bool:
+    def is_multi_request(self) -> bool:
         """Whether a flow carries many requests."""
         return self.kind is RequestKind.IDEMPOTENT
 
-    def wish(self, age_s: float = 0.0, may_be_retry: bool = False) -> Wish:
+    def request_hints(
+        self, age_s: float = 0.0, may_be_retry: bool = False
+    ) -> RequestHints:
         """Returns the hints on its requests that are sent to agents.
 
         Args:
             age_s: How long the caller has been waiting, seconds.
-            may_be_retry: See ``Wish``.
+            may_be_retry: See ``RequestHints``.
         """
-        return Wish(
+        return RequestHints(
             objective_s=self.objective_ms / 1000,
-            age_s=age_s,
-            left_s=self.left_s(age_s),
+            waited_s=age_s,
+            remaining_s=self.remaining_s(age_s),
             may_be_retry=may_be_retry,
             priority=self.priority,
             upload=self.kind is RequestKind.UPLOAD,
         )
 
-    def left_s(self, age_s: float) -> float:
+    def remaining_s(self, age_s: float) -> float:
         """Returns how long a caller still waits, seconds; 0 if unknown."""
         if not self.timeout_ms:
             return 0.0
@@ -107,8 +109,8 @@
         routes: Routes by the key of their service address.
         idle_s: Idle time after which a flow may be dropped, seconds.
         cold_bounds: Cold bounds of the services that have one.
-        unread: Keys of routes in the document that could not be parsed; empty
-            if the table came from another balancer.
+        unreadable: Keys of routes in the document that could not be parsed;
+            empty if the table came from another balancer.
         problems: What could not be parsed; empty if the table came from another
             balancer, as only balancers that read the platform get it.
     """
@@ -118,9 +120,11 @@
     idle_s: float
     problems: tuple[ConfigurationProblem, ...] = ()
     cold_bounds: tuple[ColdBound, ...] = ()
-    unread: frozenset[bytes] = frozenset()
+    unreadable: frozenset[bytes] = frozenset()
 
-    def with_former(self, former: "RouteTable | None") -> "RouteTable":
+    def with_unreadable_routes_of(
+        self, former: "RouteTable | None"
+    ) -> "RouteTable":
         """Returns a copy that takes unreadable routes from the former table.
 
         A balancer that started later does not have these routes. It gets them
@@ -130,13 +134,15 @@
         if former is None:
             return self
         same = self.version == former.version
-        unread = self.unread | former.unread if same else self.unread
+        unread = (
+            self.unreadable | former.unreadable if same else self.unreadable
+        )
         if not unread:
             return self
         kept = {
             key: former.routes[key] for key in unread if key in former.routes
         }
-        return replace(self, routes={**kept, **self.routes}, unread=unread)
+        return replace(self, routes={**kept, **self.routes}, unreadable=unread)
 
     def cold_bound(self, service: str) -> ColdBound | None:
         """Returns the cold bound of a service, or None."""
@@ -175,13 +181,13 @@
     born_ms: int = 0
     withdrawn: bool = False
 
-    def is_same_as(self, other: "ServerEntry") -> bool:
+    def is_same_incarnation_as(self, other: "ServerEntry") -> bool:
         """Tells whether two entries with one id are of the same incarnation."""
         both_known = self.born_ms and other.born_ms
         restarted = both_known and self.born_ms != other.born_ms
-        return not restarted and self.is_beside(other)
+        return not restarted and self.shares_agent_with(other)
 
-    def is_beside(self, other: "ServerEntry") -> bool:
+    def shares_agent_with(self, other: "ServerEntry") -> bool:
         """Tells whether one agent serves both servers."""
         return (self.host, self.service) == (other.host, other.service)
 
@@ -193,16 +199,17 @@
         entry: Its entry, as last published.
         tag: Tag of its service.
         warm_at: When its slow start ends; runtime clock, seconds.
-        began_cold: It was in slow start when it was first seen.
-        unlisted_at: When its entry was unlisted; ``FOREVER`` while it is
+        first_seen_cold: It was in slow start when it was first seen.
+        unlisted_at: When its entry was unlisted; ``NEVER`` while it is
             listed.
         flows: Open flows: the last reported number plus flows placed since.
         running: Unanswered requests, counted likewise.
         offered: Flows that this balancer has offered and that the agent has not
             answered; loads that the agent reports meanwhile omit them.
-        pace_ms: Its service time, ms; 0 if unknown.
+        service_time_ms: Its service time, ms; 0 if unknown.
         heard_at: When its agent was last heard.
-        probed_at: When the first unanswered health probe was sent, or None.
+        unanswered_probe_at: When the first unanswered health probe was sent, or
+            None.
         probe_sent_at: When the last health probe was sent.
         suspected: Its agent has not answered in time; it gets no new flows.
         lost: Its agent has been silent for so long that it is declared lost,
@@ -212,50 +219,52 @@
         checked_at: When the last check of its host ended, seconds.
         refused_since: Since when its host has refused every connection while
             its agent was silent, seconds, or None.
-        full_until: Its agent has reported that it is at its cold bound and
-            accepts no new flow until then.
-        state_told: Revision of the ``ServerState`` that this balancer last sent
-            to its agent.
-        told_at: When that was sent, seconds.
-        reborn: It has the id of a server that it has replaced.
+        at_cold_bound_until: Its agent has reported that it is at its cold bound
+            and accepts no new flow until then.
+        state_sent_revision: Revision of the ``ServerState`` that this balancer
+            last sent to its agent.
+        state_sent_at: When that was sent, seconds.
+        is_restart: It has the id of a server that it has replaced.
     """
 
     entry: ServerEntry
     tag: int
     warm_at: float
-    began_cold: bool = False
-    unlisted_at: float = FOREVER
+    first_seen_cold: bool = False
+    unlisted_at: float = NEVER
     flows: int = 0
     running: int = 0
     offered: int = 0
-    pace_ms: int = 0
+    service_time_ms: int = 0
     heard_at: float = float("-inf")
-    probed_at: float | None = None
+    unanswered_probe_at: float | None = None
     probe_sent_at: float = float("-inf")
     suspected: bool = False
     lost: bool = False
     restarting_until: float = float("-inf")
     checked_at: float = float("-inf")
     refused_since: float | None = None
-    full_until: float = float("-inf")
-    state_told: int = 0
-    told_at: float = float("-inf")
-    reborn: bool = False
+    at_cold_bound_until: float = float("-inf")
+    state_sent_revision: int = 0
+    state_sent_at: float = float("-inf")
+    is_restart: bool = False
 
-    def note_offer(self) -> None:
+    def record_offer(self) -> None:
         """Counts a new flow that is offered to the server."""
         self.offered += 1
         self.flows += 1
         self.running += 1
 
-    def note_offer_ended(self) -> None:
+    def record_offer_end(self) -> None:
         """Stops counting an offer that was answered or has timed out."""
         if self.offered:
             self.offered -= 1
             self.flows -= 1
             self.running -= 1
 
-    def note_load(self, flows: int, running: int, pace_ms: int) -> None:
+    def record_load(
+        self, flows: int, running: int, service_time_ms: int
+    ) -> None:
         """Records the load that the agent reports, plus pending offers.
 
         A reported load does not include offers that had not arrived when it was
@@ -265,9 +274,9 @@
         """
         self.flows = flows + self.offered
         self.running = running + self.offered
-        self.pace_ms = pace_ms
+        self.service_time_ms = service_time_ms
 
     @property
     def listed(self) -> bool:
         """Whether its entry is published."""
-        return self.unlisted_at == FOREVER
+        return self.unlisted_at == NEVER
--- a/notchhoist/flows/model/notes.py
+++ b/notchhoist/flows/model/notes.py
@@ -12,8 +12,8 @@
 
 from msgspec import Struct
 
+from notchhoist.flows.model.request_hints import RequestHints
 from notchhoist.flows.model.segments import Segment
-from notchhoist.flows.model.wishes import Wish
 
 _KIND_SHIFT = 28
 _KIND_MASK = 0xF
@@ -29,7 +29,7 @@
 _SEVEN_BITS = 0x7F
 _THREE_BITS = 0x7
 _TWO_BITS = 0x3
-NO_WISH = Wish()
+NO_HINTS = RequestHints()
 
 OBJECTIVE_STEP_S = 0.025
 """Resolution of a latency objective in a note, seconds. The maximum of 63 steps
@@ -56,19 +56,21 @@
     Attributes:
         NONE: The packet comes from a caller.
         PLACE: To an agent: a new flow for its backend server.
-        HELD: To an agent: a packet of a flow that should be at its backend
+        FORWARD: To an agent: a packet of a flow that should be at its backend
             server.
-        TRY: To an agent: a packet of a flow that may be at its backend server.
-        ASK: To an agent, header only: is this flow at your backend server?
-        ABSENT: Reply to ``ASK``: the flow is not there.
-        PRESENT: Reply to ``ASK``: the flow is there.
-        UNSURE: Reply to ``ASK``: the agent started too recently to know.
-        TAKEN: From an agent, header only: its backend server accepted the flow.
+        SAMPLE: To an agent: a packet of a flow that may be at its backend
+            server.
+        QUERY: To an agent, header only: is this flow at your backend server?
+        ABSENT: Reply to ``QUERY``: the flow is not there.
+        PRESENT: Reply to ``QUERY``: the flow is there.
+        UNSURE: Reply to ``QUERY``: the agent started too recently to know.
+        ACCEPTED: From an agent, header only: its backend server accepted the
+            flow.
         REFUSED: From an agent: the opening packet is returned; nothing ran.
         RETURNED: From an agent: the packet is returned; its flow is not here.
-        FULL: From an agent: the opening packet is returned; nothing ran. The
-            server must get no new flow for a pause, which the note carries in
-            place of the service time.
+        AT_COLD_BOUND: From an agent: the opening packet is returned; nothing
+            ran. The server must get no new flow for a pause, which the note
+            carries in place of the service time.
         PLACE_BOUNDED: As ``PLACE``, for a server with a cold bound; an agent
             that does not know the bound yet waits until it is reported.
         PLACE_IF_FREE: As ``PLACE``, but only if a slot is free for the flow. An
@@ -79,16 +81,16 @@
 
     NONE = 0
     PLACE = 1
-    HELD = 2
-    TRY = 3
-    ASK = 4
+    FORWARD = 2
+    SAMPLE = 3
+    QUERY = 4
     ABSENT = 5
     PRESENT = 6
     UNSURE = 7
-    TAKEN = 8
+    ACCEPTED = 8
     REFUSED = 9
     RETURNED = 10
-    FULL = 11
+    AT_COLD_BOUND = 11
     PLACE_BOUNDED = 12
     PLACE_IF_FREE = 13
     BUSY = 14
@@ -103,12 +105,12 @@
     Attributes:
         flows: Open flows.
         running: Requests that are not answered yet.
-        pace_ms: Smoothed time from request to answer, ms; 0 if unknown.
+        service_time_ms: Smoothed time from request to answer, ms; 0 if unknown.
     """
 
     flows: int = 0
     running: int = 0
-    pace_ms: int = 0
+    service_time_ms: int = 0
 
 
 def service_tag(service: str) -> int:
@@ -124,22 +126,23 @@
     return zlib.crc32(service.encode()) & _TAG_MASK
 
 
-def to_agent(kind: NoteKind, tag: int, wish: Wish = NO_WISH) -> int:
+def to_agent(kind: NoteKind, tag: int, hints: RequestHints = NO_HINTS) -> int:
     """Returns a note for an agent of the service that has a tag.
 
     Examples:
-        >>> hints = Wish(objective_s=0.225, age_s=0.2, priority=1, left_s=2.3)
-        >>> wish_of(to_agent(NoteKind.HELD, 7, hints)) == hints
+        >>> hints = RequestHints(objective_s=0.225, waited_s=0.2, priority=1, remaining_s=2.3)
+        >>> hints_of(to_agent(NoteKind.FORWARD, 7, hints)) == hints
         True
     """
-    objective = min(round(wish.objective_s / OBJECTIVE_STEP_S), _SIX_BITS)
-    waited = min(round(wish.age_s / WAITED_STEP_S), _THREE_BITS)
-    priority = min(wish.priority, _TWO_BITS)
+    objective = min(round(hints.objective_s / OBJECTIVE_STEP_S), _SIX_BITS)
+    waited = min(round(hints.waited_s / WAITED_STEP_S), _THREE_BITS)
+    priority = min(hints.priority, _TWO_BITS)
     remaining = min(
-        int(wish.left_s / REMAINING_STEP_S + ROUNDING_EPSILON), _SEVEN_BITS
+        int(hints.remaining_s / REMAINING_STEP_S + ROUNDING_EPSILON),
+        _SEVEN_BITS,
     )
-    remaining |= wish.may_be_retry << (_RETRY_SHIFT - _REMAINING_SHIFT)
-    packed = objective << 6 | waited << 3 | priority << 1 | wish.upload
+    remaining |= hints.may_be_retry << (_RETRY_SHIFT - _REMAINING_SHIFT)
+    packed = objective << 6 | waited << 3 | priority << 1 | hints.upload
     return (
         remaining << _REMAINING_SHIFT
         | kind << _KIND_SHIFT
@@ -148,15 +151,15 @@
     )
 
 
-def wish_of(note: int) -> Wish:
+def hints_of(note: int) -> RequestHints:
     """Returns the request hints in a note for an agent."""
     packed = note >> _HINTS_SHIFT
-    return Wish(
+    return RequestHints(
         objective_s=round((packed >> 6 & _SIX_BITS) * OBJECTIVE_STEP_S, 3),
-        age_s=round((packed >> 3 & _THREE_BITS) * WAITED_STEP_S, 3),
+        waited_s=round((packed >> 3 & _THREE_BITS) * WAITED_STEP_S, 3),
         priority=packed >> 1 & _TWO_BITS,
         upload=bool(packed & 1),
-        left_s=round(
+        remaining_s=round(
             (note >> _REMAINING_SHIFT & _SEVEN_BITS) * REMAINING_STEP_S, 3
         ),
         may_be_retry=bool(note >> _RETRY_SHIFT & 1),
@@ -167,33 +170,35 @@
     """Returns a note for a balancer that also reports the load.
 
     Examples:
-        >>> note = to_balancer(NoteKind.TAKEN, Load(40, 3, 64))
+        >>> note = to_balancer(NoteKind.ACCEPTED, Load(40, 3, 64))
         >>> kind_of(note).name, load_of(note)
-        ('TAKEN', Load(flows=40, running=3, pace_ms=64))
+        ('ACCEPTED', Load(flows=40, running=3, service_time_ms=64))
     """
     return (
         kind << _KIND_SHIFT
         | min(load.flows, _FLOWS_MAX) << _FLOWS_SHIFT
         | min(load.running, _BYTE_MAX) << _RUNNING_SHIFT
-        | min(load.pace_ms // SERVICE_TIME_STEP_MS, _BYTE_MAX)
+        | min(load.service_time_ms // SERVICE_TIME_STEP_MS, _BYTE_MAX)
     )
 
 
-def full(load: Load, pause_s: float) -> int:
+def at_cold_bound(load: Load, pause_s: float) -> int:
     """Returns the note of an opening packet that exceeds the cold bound.
 
     Examples:
-        >>> pause_of(full(Load(40, 3, 64), 0.25))
+        >>> pause_of(at_cold_bound(Load(40, 3, 64), 0.25))
         0.256
     """
     steps = math.ceil(pause_s * 1000 / SERVICE_TIME_STEP_MS)
     pause = min(steps, _BYTE_MAX) * SERVICE_TIME_STEP_MS
-    return to_balancer(NoteKind.FULL, Load(load.flows, load.running, pause))
+    return to_balancer(
+        NoteKind.AT_COLD_BOUND, Load(load.flows, load.running, pause)
+    )
 
 
 def pause_of(note: int) -> float:
-    """Returns the pause in a note of kind ``FULL``, seconds."""
-    return load_of(note).pace_ms / 1000
+    """Returns the pause in a note of kind ``AT_COLD_BOUND``, seconds."""
+    return load_of(note).service_time_ms / 1000
 
 
 def kind_of(note: int) -> NoteKind:
--- a/notchhoist/flows/model/records.py
+++ b/notchhoist/flows/model/records.py
@@ -5,10 +5,10 @@
 
 from msgspec import Struct, field
 
-REASONED = frozenset(
+COSTLY_EVENTS = frozenset(
     ["reset", "refuse", "turn away", "give up finding", "leave to others"]
 )
-FOLLOWED = frozenset(["place", "find", "release", "give back"])
+ROUTINE_EVENTS = frozenset(["place", "find", "release", "give back"])
 """Events of decisions on a caller's flow that cost the caller nothing."""
 
 COSTLY_KEPT = 200
@@ -164,7 +164,7 @@
         counters: Counts since the start of the process.
         decisions: Decisions that are not logged yet.
         histograms: Histograms by duration, service and outcome.
-        reasoned: The last decisions that cost a caller something.
+        costly: The last decisions that cost a caller something.
     """
 
     counters: collections.Counter[Count] = field(
@@ -174,7 +174,7 @@
         default_factory=collections.deque
     )
     histograms: dict[Series, Histogram] = field(default_factory=dict)
-    reasoned: collections.deque[Decision] = field(
+    costly: collections.deque[Decision] = field(
         default_factory=lambda: collections.deque(maxlen=COSTLY_KEPT)
     )
 
@@ -191,13 +191,13 @@
             histogram = self.histograms[series] = Histogram()
         histogram.add(latency_s)
 
-    def decide(
+    def record_decision(
         self, event: str, flow: bytes, outcome: str, **inputs: object
     ) -> None:
         """Queues a decision; only counts it past ``DECISIONS_KEPT``."""
         decision = Decision(event, flow, inputs, outcome)
-        if event in REASONED:
-            self.reasoned.append(decision)
+        if event in COSTLY_EVENTS:
+            self.costly.append(decision)
         if len(self.decisions) >= DECISIONS_KEPT:
             self.counters[Count.DECISIONS_DROPPED] += 1
             return
--- a/notchhoist/flows/model/revisions.py
+++ b/notchhoist/flows/model/revisions.py
@@ -12,7 +12,7 @@
 In decimal, its last fifteen digits are the count.
 """
 
-COUNTS_AN_ERA = 10**15
+COUNTS_PER_ERA = 10**15
 """Counts reserved for an era: a million changes a second for thirty years."""
 
 
@@ -23,12 +23,12 @@
         >>> make_revision(2, 57) > make_revision(1, 63)
         True
     """
-    return era * COUNTS_AN_ERA + count
+    return era * COUNTS_PER_ERA + count
 
 
 def era_of(revision: int) -> int:
     """Returns the era of a revision."""
-    return revision // COUNTS_AN_ERA
+    return revision // COUNTS_PER_ERA
 
 
 def count_of(revision: int) -> int:
@@ -38,4 +38,4 @@
         >>> count_of(make_revision(2, 57))
         57
     """
-    return revision % COUNTS_AN_ERA
+    return revision % COUNTS_PER_ERA
--- a/notchhoist/flows/model/segments.py
+++ b/notchhoist/flows/model/segments.py
@@ -44,7 +44,7 @@
     note: int
     raw: bytes
 
-    def repeats(self, other: "Segment") -> bool:
+    def is_retransmission_of(self, other: "Segment") -> bool:
         """Tells whether this packet retransmits another packet of the flow."""
         return (self.seq, self.size) == (other.seq, other.size)
 
@@ -69,7 +69,7 @@
     def with_note(self, segment: Segment, note: int) -> bytes:
         """Returns the packet with another note; it can go to any server."""
 
-    def head_with_note(self, segment: Segment, note: int) -> bytes:
+    def header_with_note(self, segment: Segment, note: int) -> bytes:
         """Returns only the packet's header, with another note."""
 
     def make_reset(self, segment: Segment) -> bytes:
--- a/notchhoist/flows/model/view.py
+++ b/notchhoist/flows/model/view.py
@@ -92,22 +92,27 @@
     removals_dropped_to: int = 0
 
     def put_table(
-        self, table: RouteTable, revision: int, mends: bool = False
+        self,
+        table: RouteTable,
+        revision: int,
+        replace_same_version: bool = False,
     ) -> bool:
         """Applies a configuration if it is newer.
 
         Args:
             table: The configuration.
             revision: Revision of its change.
-            mends: The table is known to be complete and also replaces a
-                different one of the same version.
+            replace_same_version: The table is known to be complete and also
+                replaces a different one of the same version.
         """
         known = self.table.version if self.table is not None else -1
         if table.version == known:
             self._record_republication(revision)
-        if table.version < known or (table.version == known and not mends):
+        if table.version < known or (
+            table.version == known and not replace_same_version
+        ):
             return False
-        table = table.with_former(self.table)
+        table = table.with_unreadable_routes_of(self.table)
         if self.table == table:
             return False
         old: Mapping[bytes, Route] = self.table.routes if self.table else {}
@@ -137,12 +142,12 @@
             self.removals_dropped_to = max(self.removals_dropped_to, revision)
 
     @property
-    def told_digest(self) -> int | None:
+    def advertised_digest(self) -> int | None:
         """Digest of the routes; None if unreadable routes are kept.
 
         Other processes that read the same document do not have those routes.
         """
-        kept = self.table is not None and self.table.unread
+        kept = self.table is not None and self.table.unreadable
         return None if kept else self.digest
 
     def put_server(self, entry: ServerEntry, revision: int) -> bool:
@@ -191,7 +196,7 @@
             self.cold_bounds_changed_at,
         )
 
-    def note_told(self, change: ViewChange) -> None:
+    def record_received_changes(self, change: ViewChange) -> None:
         """Records the routes that a received change names as changed.
 
         Routes that are unchanged here count too: they may differ in a version
@@ -204,16 +209,16 @@
             self.changed_at[key] = max(known, change.revision)
         self._drop_old_removals()
 
-    def note_whole(self, revision: int) -> None:
+    def record_full_read(self, revision: int) -> None:
         """Records that the whole published state was read.
 
         Entries that were added and removed between two reads were never seen,
         so processes that are further behind must get the whole view.
         """
-        self.reach(revision)
+        self.advance_to(revision)
         self.removals_dropped_to = max(self.removals_dropped_to, revision)
 
-    def reach(self, revision: int) -> None:
+    def advance_to(self, revision: int) -> None:
         """Records that everything up to a revision is known."""
         self.revision = max(self.revision, revision)
 
@@ -234,15 +239,15 @@
             )
             del self.changed_at[key]
 
-    def since(self, revision: int) -> ViewChange:
+    def changes_since(self, revision: int) -> ViewChange:
         """Returns the changes after a revision, or the whole view if too old.
 
         Examples:
             >>> view = FleetView()
             >>> entry = ServerEntry("s", "hallbook", "10.0.0.1", "a", 3, False)
-            >>> view.put_server(entry, 7), view.since(7).servers
+            >>> view.put_server(entry, 7), view.changes_since(7).servers
             (True, ())
-            >>> view.since(6).servers[0][1]
+            >>> view.changes_since(6).servers[0][1]
             7
         """
         base = revision if revision >= self.removals_dropped_to else 0
@@ -284,5 +289,5 @@
                 if zone not in self.evacuated
             ),
             evacuated_total=len(self.evacuated),
-            routes_digest=self.told_digest,
+            routes_digest=self.advertised_digest,
         )
--- a/notchhoist/flows/published/eras.py
+++ b/notchhoist/flows/published/eras.py
@@ -37,7 +37,7 @@
     if 0 < entry.born_ms < known.born_ms:
         return known
     announced = known.draining and not known.withdrawn
-    if announced and known.is_same_as(entry):
+    if announced and known.is_same_incarnation_as(entry):
         return replace(entry, draining=True)
     return entry
 
@@ -87,7 +87,7 @@
         self.grace_until = now + RESTORE_GRACE_S
         self.listing_pending = True
         board.store_failed_at = now
-        board.records.decide(
+        board.records.record_decision(
             "store restored",
             b"",
             f"grace period ends in {RESTORE_GRACE_S} s",
--- a/notchhoist/flows/published/fleet_updater.py
+++ b/notchhoist/flows/published/fleet_updater.py
@@ -8,7 +8,7 @@
 
 from notchhoist.flows.boards.balancer_board import BalancerBoard
 from notchhoist.flows.model.fleet import (
-    FOREVER,
+    NEVER,
     Server,
     ServerEntry,
 )
@@ -76,7 +76,7 @@
                 if server_id not in listed:
                     self.on_removed(server_id, revision, now)
             self.eras.listing_pending = False
-        self.board.view.note_whole(revision)
+        self.board.view.record_full_read(revision)
         self.board.list_complete_since = now
         self._log_listing(entries, changed, revision)
         if not self.board.fleet_known:
@@ -99,7 +99,7 @@
         after a power loss.
         """
         ids = sorted(entry.server_id for entry, _ in entries)
-        self.board.records.decide(
+        self.board.records.record_decision(
             "servers listed",
             b"",
             f"{len(entries)} servers",
@@ -117,7 +117,7 @@
         self._rebuild_index()
         if entry.server_id not in self.board.servers:
             return
-        self.board.records.decide(
+        self.board.records.record_decision(
             "server",
             b"",
             "draining" if entry.draining else "ready",
@@ -148,18 +148,20 @@
             unchanged = entry == replace(server.entry, created=entry.created)
         if not board.view.put_server(entry, revision):
             return False
-        reborn = server is not None and not server.entry.is_same_as(entry)
+        reborn = server is not None and not server.entry.is_same_incarnation_as(
+            entry
+        )
         if server is not None and reborn:
             self._start_incarnation(server, entry, now)
             server = None
         if server is None:
             server = Server(entry, service_tag(entry.service), 0.0)
-            server.reborn = reborn
-            server.began_cold = entry.warm_in_s > 0
+            server.is_restart = reborn
+            server.first_seen_cold = entry.warm_in_s > 0
             board.servers[entry.server_id] = server
             self.servers_by_host.setdefault(entry.host, []).append(server)
         server.entry = entry
-        server.unlisted_at = FOREVER
+        server.unlisted_at = NEVER
         if not unchanged:
             server.warm_at = now + entry.warm_in_s
         if self._resolve_host_conflicts(server):
@@ -192,7 +194,7 @@
         its flows.
         """
         board = self.board
-        board.records.decide(
+        board.records.record_decision(
             "server",
             b"",
             "began anew",
@@ -202,7 +204,7 @@
             born_ms=entry.born_ms,
             born_before=former.entry.born_ms,
         )
-        if former.entry.is_beside(entry):
+        if former.entry.shares_agent_with(entry):
             return  # _resolve_host_conflicts replaces it.
         del board.servers[entry.server_id]
         former_id = f"{entry.server_id}@{former.entry.host}"
@@ -246,7 +248,7 @@
         server = self.board.servers.get(server_id)
         if server is not None:
             server.unlisted_at = now
-        self.board.records.decide(
+        self.board.records.record_decision(
             "server", b"", "unlisted", server=server_id, revision=revision
         )
 
@@ -265,7 +267,7 @@
         server = self.board.servers.get(server_id)
         if server is not None:
             server.entry = withdrawn
-        self.board.records.decide(
+        self.board.records.record_decision(
             "server", b"", "withdrawn", server=server_id, revision=revision
         )
 
@@ -309,7 +311,7 @@
             self.on_entry(entry, revision, now)
         for server_id in change.removed_servers:
             self.on_removed(server_id, change.revision, now)
-        board.view.reach(change.revision)
+        board.view.advance_to(change.revision)
         return True
 
     def sweep(self, now: float) -> None:
--- a/notchhoist/flows/published/reconciliation.py
+++ b/notchhoist/flows/published/reconciliation.py
@@ -37,7 +37,7 @@
         view = self.board.view
         if view.revision != change.revision:
             return
-        digests = (view.told_digest, change.routes_digest)
+        digests = (view.advertised_digest, change.routes_digest)
         routes = len(view.table.routes) if view.table else 0
         same = (routes, len(view.servers), len(view.evacuated)) == (
             change.routes_total,
@@ -81,7 +81,7 @@
         self.next_attempt_at = now + self.backoff_s
         self.backoff_s = min(2 * self.backoff_s, MAX_RECONCILE_INTERVAL_S)
         view = self.board.view
-        self.board.records.decide(
+        self.board.records.record_decision(
             "view differs",
             b"",
             outcome,
--- a/notchhoist/flows/published/reroutings.py
+++ b/notchhoist/flows/published/reroutings.py
@@ -78,7 +78,7 @@
         if before is not None and _drops_service(before, table):
             board.rerouted_at = now
         former = before.routes if before is not None else {}
-        split = [route for route in table.routes.values() if route.splits]
+        split = [route for route in table.routes.values() if route.is_split]
         board.splits = bool(split)
         board.placed = {
             route.service_key: board.placed[route.service_key]
--- a/notchhoist/flows/published/states.py
+++ b/notchhoist/flows/published/states.py
@@ -45,7 +45,7 @@
     no cold bound, the server has replaced none of its id and is not draining.
     """
     entry = server.entry
-    special = entry.zone in board.zones or entry.draining or server.reborn
+    special = entry.zone in board.zones or entry.draining or server.is_restart
     return special or cold_bound_of(board, server).per_s > 0
 
 
--- a/notchhoist/flows/published/tables.py
+++ b/notchhoist/flows/published/tables.py
@@ -72,7 +72,7 @@
             return
         board.table = table = board.view.table or table
         before = former.routes if former else {}
-        board.records.decide(
+        board.records.record_decision(
             "configuration",
             b"",
             "in force",
@@ -111,5 +111,5 @@
         mends = change.base == 0 and newest
         self.on_table(table, change.revision, mends, sender)
         if change.base:
-            board.view.note_told(change)
+            board.view.record_received_changes(change)
         return True
--- a/notchhoist/flows/published/tests/test_eras.py
+++ b/notchhoist/flows/published/tests/test_eras.py
@@ -109,7 +109,7 @@
     target.take_effects()
     host = source.board.host
     known = target.board.view.revision
-    change = source.board.view.since(known)
+    change = source.board.view.changes_since(known)
     target.synchronizer.on_update(host, ViewTell(change, 0.0, ()), now)
     asked = [
         effect.message.revision
@@ -119,7 +119,7 @@
         and effect.host == host
     ]
     for revision in asked:
-        change = source.board.view.since(revision)
+        change = source.board.view.changes_since(revision)
         target.synchronizer.on_update(host, ViewTell(change, 0.0, ()), now)
 
 
@@ -129,7 +129,7 @@
         balancer_with(entry(1)), [(entry(1), at(41, 2))], at(57, 2), 1.0
     )
     node.synchronizer.query_sent_at[7] = 1.0
-    change = outdated.board.view.since(node.board.view.revision)
+    change = outdated.board.view.changes_since(node.board.view.revision)
     node.synchronizer.on_update(
         HOSTS[1], ViewTell(change, 0.0, (), asked=7), 1.1
     )
@@ -149,7 +149,7 @@
     for one in (node, started):
         list_servers(one, [(entry(1), at(41, 2))], at(57, 2), 1.0)
     node.fleet.tables.on_table(crafting.table(4), at(58, 2))
-    node.board.view.reach(at(58, 2))
+    node.board.view.advance_to(at(58, 2))
     send_update(node, started)
     assert started.board.table.version == 4
 
--- a/notchhoist/flows/published/tests/test_fleet_updater.py
+++ b/notchhoist/flows/published/tests/test_fleet_updater.py
@@ -99,7 +99,7 @@
     """A balancer that has seen a server restart under the same id."""
     node = list_servers([entry(1, born_ms=1000, **fields)])
     former = node.board.servers["s1"]
-    former.note_load(9, 9, 200)
+    former.record_load(9, 9, 200)
     former.suspected = True
     node.fleet.on_entry(entry(1, born_ms=born_ms, **fields), revision, 1.0)
     return node, former
@@ -110,9 +110,13 @@
         node, former = restarted(born_ms)
         server = node.board.servers["s1"]
         assert server is not former
-        assert (server.flows, server.running, server.pace_ms) == (0, 0, 0)
+        assert (server.flows, server.running, server.service_time_ms) == (
+            0,
+            0,
+            0,
+        )
         assert not server.suspected
-        assert server.reborn
+        assert server.is_restart
         assert node.board.by_host["10.0.0.1"] is server
         assert node.fleet.servers_by_host == {"10.0.0.1": [server]}
 
@@ -159,7 +163,7 @@
     routes = [crafting.route(port=port) for port in ports]
     table = crafting.table(version, routes)
     keys = [crafting.route(port=port).service_key for port in unread]
-    return replace(table, unread=frozenset(keys))
+    return replace(table, unreadable=frozenset(keys))
 
 
 def ports_of(node):
@@ -186,9 +190,9 @@
     for node in (earlier_node, later_node):
         node.fleet.tables.on_table(table_of(2, 444, unread=[443]), 2)
     assert ports_of(later_node) == {444}
-    change = later_node.board.view.since(0)
+    change = later_node.board.view.changes_since(0)
     earlier_node.fleet.on_change(change, 1.0)
     assert ports_of(earlier_node) == {443, 444}
-    later_node.fleet.on_change(earlier_node.board.view.since(0), 1.0)
+    later_node.fleet.on_change(earlier_node.board.view.changes_since(0), 1.0)
     later_node.fleet.on_change(change, 1.1)
     assert ports_of(later_node) == {443, 444}
--- a/notchhoist/flows/published/tests/test_parts.py
+++ b/notchhoist/flows/published/tests/test_parts.py
@@ -49,14 +49,14 @@
             leader.remove_server(f"s{number}", revision)
         else:
             leader.put_server(entry(number, slots=action), revision)
-        leader.reach(revision)
+        leader.advance_to(revision)
         if revision % 3 == 0:
-            change = leader.since(follower.revision)
+            change = leader.changes_since(follower.revision)
             for item, at in change.servers:
                 follower.put_server(item, at)
             for server_id in change.removed_servers:
                 follower.remove_server(server_id, change.revision)
-            follower.reach(change.revision)
+            follower.advance_to(change.revision)
             assert follower.servers == leader.servers
 
 
--- a/notchhoist/flows/published/tests/test_pieces.py
+++ b/notchhoist/flows/published/tests/test_pieces.py
@@ -159,7 +159,7 @@
 def test_small_change_is_one_uncompressed_message():
     node = make_sender()
     node.fleet.on_entry(entry(1, draining=True), 12, 0.1)
-    node.board.view.reach(12)
+    node.board.view.advance_to(12)
     [data] = query_messages(node, query=ViewAsk(9, 5, 1, reads_pieces=True))
     assert isinstance(decode_message(data), ViewTell)
 
--- a/notchhoist/flows/published/tests/test_tables.py
+++ b/notchhoist/flows/published/tests/test_tables.py
@@ -31,14 +31,14 @@
     """Lets a balancer read the next version through its watch."""
     table = crafting.table(version, routes_of(ports))
     node.fleet.tables.on_table(table, version)
-    node.board.view.reach(version)
+    node.board.view.advance_to(version)
 
 
 def send_change(sender, receiver, known=None):
     """Sends a change encoded; returns whether the receiver accepted it."""
     if known is None:
         known = receiver.board.view.revision
-    message = ViewTell(sender.board.view.since(known), 0.0, ())
+    message = ViewTell(sender.board.view.changes_since(known), 0.0, ())
     change = decode_message(encode_message(message)).change
     return receiver.fleet.on_change(change, 0.0, "teller")
 
@@ -87,7 +87,7 @@
 
 def queries_after_update(receiver, sender):
     known = receiver.board.view.revision
-    message = ViewTell(sender.board.view.since(known), 0.0, ())
+    message = ViewTell(sender.board.view.changes_since(known), 0.0, ())
     receiver.board.outbox.clear()
     receiver.synchronizer.on_update("teller", message, 0.0)
     return list(receiver.board.outbox)
@@ -98,7 +98,7 @@
     read_next_version(reader, 2, [443])
     between = reader.board.view.revision
     read_next_version(reader, 3, [443, 445])
-    message = ViewTell(reader.board.view.since(between), 0.0, ())
+    message = ViewTell(reader.board.view.changes_since(between), 0.0, ())
     receiver_node.synchronizer.on_update("10.0.0.9", message, 0.0)
     [ask] = receiver_node.board.outbox
     assert (ask.host, ask.message.revision) == ("10.0.0.9", 1)
--- a/notchhoist/flows/published/tests/test_view_sync.py
+++ b/notchhoist/flows/published/tests/test_view_sync.py
@@ -46,7 +46,7 @@
         for item in entries:
             node.fleet.on_entry(item, revision, self.now)
         node.board.fleet_known = True
-        node.board.view.reach(revision)
+        node.board.view.advance_to(revision)
         node.synchronizer.on_confirmed(self.now)
         self.carry(host, node.take_effects())
 
@@ -182,7 +182,7 @@
     outdated.fleet.on_listing([(entry(1), 3), (entry(2), 4)], 20, 0.0)
     responder.fleet.tables.on_table(crafting.table(11, [kept]), 22)
     responder.fleet.on_listing([(entry(1), 3)], 22, 0.0)
-    change = responder.board.view.since(20)
+    change = responder.board.view.changes_since(20)
     assert change.base == 0
     outdated.fleet.on_change(change, 1.0)
     assert list(outdated.board.table.routes) == [kept.service_key]
@@ -193,11 +193,11 @@
     """Another process may have the route from a version skipped here."""
     view = FleetView()
     view.put_table(crafting.table(9), 9)
-    view.note_whole(9)
+    view.record_full_read(9)
     view.put_table(crafting.table(11), 11)
-    view.note_told(ViewChange(11, removed_routes=(b"skipped",)))
-    view.reach(11)
-    assert b"skipped" in view.since(10).removed_routes
+    view.record_received_changes(ViewChange(11, removed_routes=(b"skipped",)))
+    view.advance_to(11)
+    assert b"skipped" in view.changes_since(10).removed_routes
 
 
 def test_differing_views_are_reconciled():
@@ -245,7 +245,7 @@
         if source is target or not source.board.fleet_known:
             return
         known = target.board.view.revision
-        target.fleet.on_change(source.board.view.since(known), 0.0)
+        target.fleet.on_change(source.board.view.changes_since(known), 0.0)
 
     for action, one, other, number in steps:
         if action == "evacuate":
@@ -301,7 +301,7 @@
     fleet = stable_fleet()
     for node in fleet.nodes.values():
         node.fleet.zones.on_evacuated("b", 5, fleet.now)
-        node.board.view.reach(5)
+        node.board.view.advance_to(5)
     newcomer = make_balancer("a", CODEC, "n", HOSTS[3], HOSTS[:3])
     fleet.nodes[HOSTS[3]] = newcomer
     fleet.carry(HOSTS[3], newcomer.tick(fleet.now))
--- a/notchhoist/flows/published/view_sync.py
+++ b/notchhoist/flows/published/view_sync.py
@@ -166,7 +166,7 @@
             placing_for_ms=self._placing_for_ms(now),
             rerouted_for_ms=reroutings.reroute_age_ms(self.board, now),
         )
-        change = self.board.view.since(query.revision)
+        change = self.board.view.changes_since(query.revision)
         in_pieces = self.board.uses.pieces and query.reads_pieces
         for message in self.update_builder.build(change, context, in_pieces):
             self.board.outbox.append(SendPeer(host, message))
@@ -198,7 +198,7 @@
             update = self.pieces.add(host, piece, now)
         except CodecError as error:
             self.board.records.counters[Count.MALFORMED] += 1
-            self.board.records.decide(
+            self.board.records.record_decision(
                 "view refused", b"", str(error), teller=host
             )
             return
--- a/notchhoist/flows/published/zones.py
+++ b/notchhoist/flows/published/zones.py
@@ -40,7 +40,7 @@
 
     def _log_zone(self, zone: str, outcome: str, revision: int) -> None:
         zones = sorted(self.board.view.evacuated)
-        self.board.records.decide(
+        self.board.records.record_decision(
             "zone", b"", outcome, zone=zone, revision=revision, evacuated=zones
         )
 
--- a/notchhoist/flows/tests/agents.py
+++ b/notchhoist/flows/tests/agent_harness.py
@@ -9,7 +9,7 @@
 )
 from notchhoist.flows.model.messages import LoadAsk
 from notchhoist.flows.model.notes import NoteKind, service_tag
-from notchhoist.flows.model.wishes import Wish
+from notchhoist.flows.model.request_hints import RequestHints
 from notchhoist.flows.tests import crafting
 from notchhoist.flows.tests.crafting import (
     ACK,
@@ -23,7 +23,7 @@
 BALANCER = "10.0.1.1"
 START = 100.0
 SERVER_SEQ = 5000
-FRESH = Wish(objective_s=0.225, priority=2)
+DEFAULT_HINTS = RequestHints(objective_s=0.225, priority=2)
 
 
 def agent(slots=0, known=True):
@@ -35,7 +35,7 @@
     return node
 
 
-def send(node, segment, kind, now=START, wish=FRESH, tag=TAG):
+def send(node, segment, kind, now=START, wish=DEFAULT_HINTS, tag=TAG):
     note = notes.to_agent(kind, tag, wish)
     return node.on_balancer(BALANCER, crafting.with_note(segment, note), now)
 
@@ -52,19 +52,19 @@
     ]
 
 
-def accept(node, port, now=START, wish=FRESH):
+def accept(node, port, now=START, wish=DEFAULT_HINTS):
     """Opens a flow until the server accepts it."""
     send(node, request(flags=SYN, port=port), NoteKind.PLACE, now, wish)
     accepted = answer(flags=SYN | ACK, seq=SERVER_SEQ, ack=1, port=port)
     return node.on_backend(accepted, now)
 
 
-def ask(node, port, now=START, seq=1, wish=FRESH):
+def send_request(node, port, now=START, seq=1, wish=DEFAULT_HINTS):
     """Sends a request on an accepted flow."""
     data = request(data=b"x" * 9, seq=seq, ack=SERVER_SEQ + 1, port=port)
-    return send(node, data, NoteKind.HELD, now, wish)
+    return send(node, data, NoteKind.FORWARD, now, wish)
 
 
-def reply(node, port, now=START):
+def send_answer(node, port, now=START):
     done = answer(data=b"y", seq=SERVER_SEQ + 1, ack=10, port=port)
     return node.on_backend(done, now)
