--- a/notchhoist/flows/tests/balancing.py
+++ b/notchhoist/flows/tests/balancer_harness.py
@@ -4,7 +4,7 @@
 from notchhoist.flows.model import notes
 from notchhoist.flows.model.effects import (
     CheckHost,
-    Reach,
+    ConnectResult,
     SendAgent,
     SendCaller,
     SendPeer,
@@ -36,7 +36,7 @@
     return [effect for effect in effects if isinstance(effect, SendCaller)]
 
 
-def asked_agents(effects):
+def queried_agents(effects):
     """Returns the hosts whose agents get queries about flows, in order."""
     return [
         effect.host
@@ -47,7 +47,7 @@
     ]
 
 
-def tried_agents(effects):
+def sample_packets(effects):
     """Returns the sample packets for agents, as (host, segment)."""
     return [
         (effect.host, CODEC.decode_request(raw))
@@ -57,7 +57,7 @@
     ]
 
 
-def tell_flow(node, host, segment, kind, now):
+def answer_query(node, host, segment, kind, now):
     """Answers the pending query to an agent for one flow."""
     lines = node.finder.queries.queues
     [line] = [line for (name, _), line in lines.items() if name == host]
@@ -65,12 +65,12 @@
     return node.on_peer(host, FlowsTell(line.number, **told), now)
 
 
-def tell_outcome(node, host, segment, now):
+def report_sample_absent(node, host, segment, now):
     """Reports that the flow of a sample packet is absent."""
     return node.on_peer(host, FlowsTell(0, absent=(segment.flow,)), now)
 
 
-def tell(node, host, segment, kind, now, load=None):
+def send_agent_note(node, host, segment, kind, now, load=None):
     note = notes.to_balancer(kind, load or Load())
     return node.on_agent(host, crafting.head(segment, note), now)
 
@@ -79,14 +79,16 @@
     syn = request(flags=SYN, **fields)
     [(host, _)] = packets(node.on_caller(syn, now))
     load = Load(flows=node.board.by_host[host].flows)
-    tell(node, host, syn, NoteKind.TAKEN, now + 0.001, load)
+    send_agent_note(node, host, syn, NoteKind.ACCEPTED, now + 0.001, load)
     return host
 
 
-def tick_among_dead(node, now):
+def tick_with_silent_hosts(node, now):
     """Ticks; each host that the balancer checks stays silent."""
     effects = node.tick(now)
     for effect in list(effects):
         if isinstance(effect, CheckHost):
-            effects += node.on_host_checked(effect.host, Reach.SILENT, now)
+            effects += node.on_host_checked(
+                effect.host, ConnectResult.SILENT, now
+            )
     return effects
--- a/notchhoist/flows/tests/crafting.py
+++ b/notchhoist/flows/tests/crafting.py
@@ -66,7 +66,7 @@
 
 
 def head(segment, note):
-    return CODEC.decode_request(CODEC.head_with_note(segment, note))
+    return CODEC.decode_request(CODEC.header_with_note(segment, note))
 
 
 def route(
--- a/notchhoist/flows/tests/history.py
+++ b/notchhoist/flows/tests/history.py
@@ -288,7 +288,7 @@
             return False
         reasons = [
             decision.outcome
-            for decision in self.balancers[sender].board.records.reasoned
+            for decision in self.balancers[sender].board.records.costly
             if decision.event == "reset"
             and int.from_bytes(decision.flow[4:6], "big") == port
         ]
--- a/notchhoist/flows/tests/network.py
+++ b/notchhoist/flows/tests/network.py
@@ -13,7 +13,7 @@
 
 from notchhoist.flows.agent.node import AgentNode
 from notchhoist.flows.model import effects as ef
-from notchhoist.flows.model.effects import Reach
+from notchhoist.flows.model.effects import ConnectResult
 from notchhoist.flows.model.fleet import ServerEntry
 from notchhoist.flows.tests.crafting import ACK, CODEC, SYN, answer, bounced
 
@@ -178,7 +178,9 @@
                 case ef.CheckHost(host):
                     reach = self._reach(ip, host)
                     check = partial(self._on_host_checked, ip, host, reach)
-                    self.later(0.25 if reach is Reach.SILENT else 0.0, check)
+                    self.later(
+                        0.25 if reach is ConnectResult.SILENT else 0.0, check
+                    )
                 case ef.ConfirmView():
                     self.later(0.01, partial(self._confirm, ip))
 
@@ -190,9 +192,9 @@
     def _reach(self, ip, host):
         cut = max(self.cuts.get(way, 0.0) for way in ((ip, host), (host, ip)))
         if self.hosts[host].powered_off or cut > self.now:
-            return Reach.SILENT
+            return ConnectResult.SILENT
         away = self.hosts[host].agent is None
-        return Reach.REFUSED if away else Reach.ACCEPTED
+        return ConnectResult.REFUSED if away else ConnectResult.ACCEPTED
 
     def _at_agent(self, ip, host, raw):
         agent = self.hosts[host].agent
--- a/notchhoist/platform/documents.py
+++ b/notchhoist/platform/documents.py
@@ -113,7 +113,7 @@
         idle_s=_idle_ms(fields, problems) / 1000,
         cold_bounds=_cold_bounds(fields, problems),
         problems=tuple(problems.found),
-        unread=_addressed(wrong) - served.keys(),
+        unreadable=_addressed(wrong) - served.keys(),
     )
 
 
--- a/notchhoist/platform/feeding.py
+++ b/notchhoist/platform/feeding.py
@@ -137,7 +137,7 @@
         board = self.node.board
         # A refused watch or a first page of several confirms nothing.
         if board.fleet_known and self.reader.confirms:
-            board.view.reach(self.reader.revision)
+            board.view.advance_to(self.reader.revision)
             self.node.synchronizer.on_confirmed(
                 now, self.reader.answer_age_s(now - self.called_at)
             )
@@ -267,7 +267,7 @@
         board.store_answered_at = now
         for event in changes.events:
             self._apply(event, now)
-        board.view.reach(changes.revision)
+        board.view.advance_to(changes.revision)
         self.node.synchronizer.on_confirmed(now, now - self.confirming_since)
         self.node.finder.on_view_confirmed(now)
 
@@ -297,7 +297,9 @@
     def _decide(self, event: str, outcome: str, **inputs: object) -> None:
         records = self.node.board.records
         revision = self.node.board.view.revision
-        records.decide(event, b"", outcome, revision=revision, **inputs)
+        records.record_decision(
+            event, b"", outcome, revision=revision, **inputs
+        )
 
     def _apply(self, event: StoreEvent, now: float) -> None:
         fleet = self.node.fleet
--- a/notchhoist/platform/items.py
+++ b/notchhoist/platform/items.py
@@ -4,7 +4,7 @@
 
 from notchhoist.base.errors import ConfigurationRefusedError
 from notchhoist.flows.model.fleet import RouteTable, ServerEntry
-from notchhoist.flows.model.revisions import COUNTS_AN_ERA, make_revision
+from notchhoist.flows.model.revisions import COUNTS_PER_ERA, make_revision
 from notchhoist.platform.checking import FieldError, Fields
 from notchhoist.platform.documents import (
     decode_configuration,
@@ -16,7 +16,7 @@
 SERVERS_PREFIX = "servers/"
 EVACUATIONS_PREFIX = "op/evacuate/"
 """An item under it asks that a zone be evacuated while it is there."""
-MAX_REVISION = COUNTS_AN_ERA - 1
+MAX_REVISION = COUNTS_PER_ERA - 1
 
 
 class TablePublished(Struct, frozen=True):
--- a/notchhoist/platform/packets.py
+++ b/notchhoist/platform/packets.py
@@ -75,7 +75,7 @@
         flags = raw[_FLAGS_AT] & ~_BOUNCED
         return _noted(raw, flags, note) + raw[_FLAGS_AT + 2 :]
 
-    def head_with_note(self, segment: Segment, note: int) -> bytes:
+    def header_with_note(self, segment: Segment, note: int) -> bytes:
         """See ``SegmentCodec``."""
         raw = segment.raw
         head = _noted(raw, raw[_FLAGS_AT], note)
--- a/notchhoist/platform/tests/test_documents.py
+++ b/notchhoist/platform/tests/test_documents.py
@@ -77,7 +77,7 @@
     assert (table.version, table.idle_s) == (7, 15.0)
     assert route.kind is RequestKind.ONCE_ONLY
     assert route.targets == (("hallbook", 1),)
-    assert route.wish().objective_s == 0.283
+    assert route.request_hints().objective_s == 0.283
 
 
 def test_a_split_route_sends_each_flow_to_one_service():
@@ -187,13 +187,13 @@
     assert [route.name for route in table.routes.values()] == ["r-2"]
     [problem] = table.problems
     assert (problem.place, problem.got) == (f"routes[0].{place}", got)
-    assert table.with_former(before).routes == before.routes
+    assert table.with_unreadable_routes_of(before).routes == before.routes
 
 
 def test_a_route_without_a_readable_address_is_not_kept():
     before = decode_configuration(json.dumps(TWO_ROUTES).encode())
     text = changed(TWO_ROUTES, ["routes", 0, "host"], "somewhere")
-    table = decode_configuration(text).with_former(before)
+    table = decode_configuration(text).with_unreadable_routes_of(before)
     assert [route.name for route in table.routes.values()] == ["r-2"]
 
 
--- a/notchhoist/platform/tests/test_unnamed_eras.py
+++ b/notchhoist/platform/tests/test_unnamed_eras.py
@@ -70,7 +70,7 @@
     feeder.on_failed("reset", 1.0)
     feeder.next_call(1.5)
     feeder.on_answer(200, changes(as_of=63), 1.5)
-    feeder.node.board.view.reach(66)
+    feeder.node.board.view.advance_to(66)
     assert "/kv-range" in feeder.next_call(1.6).target
 
 
--- a/notchhoist/testing/opaque/hosts.py
+++ b/notchhoist/testing/opaque/hosts.py
@@ -6,7 +6,7 @@
 
 from notchhoist.flows.agent.node import AgentNode
 from notchhoist.flows.balancer.node import BalancerNode
-from notchhoist.flows.model.effects import Reach
+from notchhoist.flows.model.effects import ConnectResult
 from notchhoist.platform.feeding import StoreFeeder
 from notchhoist.testing.opaque.links import HostLink, make_link
 from notchhoist.testing.opaque.servers import ServerModel
@@ -56,8 +56,12 @@
     looks: bool = False
     calling: int = 0
 
-    def reach(self) -> Reach:
+    def reach(self) -> ConnectResult:
         """Returns what a connection to its process meets."""
         if self.dark:
-            return Reach.SILENT
-        return Reach.REFUSED if self.node is None else Reach.ACCEPTED
+            return ConnectResult.SILENT
+        return (
+            ConnectResult.REFUSED
+            if self.node is None
+            else ConnectResult.ACCEPTED
+        )
--- a/notchhoist/testing/opaque/world.py
+++ b/notchhoist/testing/opaque/world.py
@@ -316,10 +316,10 @@
     def _check_host(self, source: Host, target: str) -> None:
         """Lets a balancer try to connect to another host."""
         host = self.hosts.get(target)
-        reach = effects.Reach.SILENT
+        reach = effects.ConnectResult.SILENT
         if host is not None and not self.network.is_cut(source.ip, target):
             reach = host.reach()
-        silent = reach is effects.Reach.SILENT
+        silent = reach is effects.ConnectResult.SILENT
         delay = CHECK_S if silent else 2 * self.network.cross_zone_s
 
         def take() -> None:
