--- a/notchhoist/flows/balancer/isolation.py
+++ b/notchhoist/flows/balancer/isolation.py
@@ -45,10 +45,10 @@
     asked_at: float | None = None
 
     def tick(self, now: float) -> None:
-        """Updates the decision; ``HealthKeeper`` is due while agents owe.
+        """Updates the decision.
 
-        Its ``due`` asks for ticks as long as it awaits replies, so this
-        controller needs none of its own.
+        ``HealthKeeper`` is due while agents owe answers, so this controller
+        needs no ``due`` of its own.
         """
         uses = self.board.uses
         if not uses.isolation or not self._agents_are_silent(now):
