--- a/notchhoist/blackboards/__init__.py
+++ b/notchhoist/blackboards/__init__.py
@@ -1,11 +1,11 @@
-"""Blackboards: what each role knows; controllers read and write them."""
+"""State of agents and balancers of the CoAP path, shared by controllers."""
 
 from notchhoist.blackboards.agent import (
     AgentBoard,
     AgentIdentity,
     Flow,
+    OwnerQuery,
     PeerState,
-    PendingAsk,
     make_agent_board,
 )
 from notchhoist.blackboards.balancer import (
@@ -51,8 +51,8 @@
     "LocalOrigin",
     "Origin",
     "Outcome",
+    "OwnerQuery",
     "PeerState",
-    "PendingAsk",
     "RemoteOrigin",
     "Run",
     "RunState",
--- a/notchhoist/blackboards/agent.py
+++ b/notchhoist/blackboards/agent.py
@@ -1,4 +1,4 @@
-"""The blackboard of an agent."""
+"""State of an agent (its blackboard)."""
 
 from collections import OrderedDict, deque
 
@@ -21,31 +21,38 @@
     Run,
 )
 
-DEFAULT_IDLE_S = 60.0
-"""A flow without a stream is forgotten after this silence, seconds."""
+DEFAULT_IDLE_TIMEOUT_S = 60.0
+"""Time without a datagram after which an unpinned flow ends, seconds."""
 
-LEASE_PER_IDLE = 3.0
-"""A pointer outlives so many renewals that are lost."""
+POINTER_LEASE_PER_IDLE = 3.0
+"""Lease of a pointer as a multiple of the interval of its renewals.
+
+The interval is the idle timeout, so that two lost renewals in a row do not
+end a lease.
+"""
 
 DIRECTORY_CAPACITY = 200_000
 QUEUE_PER_SLOT = 4
 INITIAL_SLOTS = 1
 
-RUN_BITS = 20
-"""A run's number is the incarnation and a count of so many bits."""
+RUN_COUNTER_BITS = 20
+"""Number of low bits of a run's number that count runs.
+
+The bits above them are the agent's incarnation.
+"""
 
 
 @attrs.frozen
 class AgentIdentity:
-    """Who an agent is, from its settings.
+    """Identity of an agent, from its settings.
 
     Attributes:
         service: Service that its backend server is attached to.
         server: Name of the backend server, which is the host's name.
         zone: Availability zone.
-        peer: Its own peer endpoint.
-        incarnation: Number below 2**40 that is drawn anew at each start.
-        idle_s: A flow without a stream is forgotten after this silence.
+        peer: Peer endpoint of the agent.
+        incarnation: Number below 2**40, drawn at random at each start.
+        idle_s: Idle timeout of an unpinned flow, seconds.
     """
 
     service: str
@@ -53,7 +60,7 @@
     zone: str
     peer: model.Endpoint
     incarnation: int
-    idle_s: float = DEFAULT_IDLE_S
+    idle_s: float = DEFAULT_IDLE_TIMEOUT_S
 
 
 @attrs.define
@@ -62,14 +69,16 @@
 
     Attributes:
         caller: Endpoint of the caller.
-        last_seen: Runtime clock of the last datagram either way, seconds.
-        balancer: Balancer that last brought a datagram, or None.
+        last_seen: Runtime clock of the last datagram in either direction,
+            seconds.
+        balancer: Balancer that last forwarded a datagram of it, or None.
         exchanges: Recent requests by message ID.
-        streams: Open streams: token, and runtime clock of the last
-            notification, seconds.
-        restored: Taken over after a restart; its streams are not known.
-        uploads: Runtime clock of the last block of each upload.
-        delegates: Agent that takes the blocks of an upload, by upload.
+        streams: Runtime clock of the last notification of each open stream,
+            seconds, by token.
+        restored: It was open before this agent restarted; which streams it
+            has is not known.
+        uploads: Runtime clock of the last block of each upload, seconds.
+        delegates: Agent that gets the blocks of an upload, by upload.
     """
 
     caller: model.Endpoint
@@ -82,23 +91,23 @@
     delegates: dict[bytes, model.Endpoint] = attrs.Factory(dict)
 
     def is_pinned(self) -> bool:
-        """Tells whether the flow has state at the backend server."""
+        """Returns whether the flow may have state at the backend server."""
         return bool(self.streams or self.uploads or self.restored)
 
     def is_shared(self) -> bool:
-        """Tells whether it holds more than one stream or upload."""
+        """Returns whether the flow may have several streams or uploads."""
         held = len(self.streams) + len(self.uploads)
         return self.restored or held > 1
 
 
 @attrs.define
 class PeerState:
-    """What is known of another agent of the service.
+    """Last load report of another agent of the service.
 
     Attributes:
-        report: Its last load report.
-        heard_at: Runtime clock of that, seconds.
-        sent_since: Requests given to it since.
+        report: The load report.
+        heard_at: Runtime clock of its arrival, seconds.
+        sent_since: Requests and flows given to the agent since then.
     """
 
     report: model.LoadReport
@@ -107,16 +116,18 @@
 
 
 @attrs.define
-class PendingAsk:
-    """A flow whose owner is being asked for.
+class OwnerQuery:
+    """A pending query to the peers for the owner of a flow.
 
     Attributes:
-        forwards: Datagrams that wait for the answer.
-        awaited: Peers that have not answered.
-        until: Runtime clock when the wait ends, seconds.
-        asked: The peers have been asked; before that it is not known whom.
-        heard: The newest answer so far that names an owner.
-        heard_at: Runtime clock when that owner said so, seconds.
+        forwards: Datagrams that wait for the result.
+        awaited: Peers that have not replied.
+        until: Runtime clock at which the query times out, seconds.
+        asked: The query has been sent. It waits until enough is known of the
+            earlier sets of agents.
+        heard: Owner by the newest reply so far that names one, or None.
+        heard_at: Runtime clock at which that owner was last confirmed,
+            seconds.
     """
 
     forwards: list[model.Forward]
@@ -129,49 +140,59 @@
 
 @attrs.define
 class AgentBoard:
-    """Everything that an agent knows.
+    """State of an agent.
+
+    Times are of the runtime clock, in seconds.
 
     Attributes:
-        identity: Who it is.
-        config: Configuration and platform.
-        service: Record of its service, the last one known, or None.
-        sets: Earlier sets of agents and until when they count.
-        flows: Flows that it owns.
-        directory: Pointers to the owners of flows that it is home of.
-        tenure: How long it has been home without a break.
-        referred: Flows that a newer home asked for: home and time.
-        moved: Flows that were handed on a moment ago: to whom and when.
-        asks: Flows whose owner is being asked for.
-        peers: The other agents of the service.
-        balancers_seen: Runtime clock of the last word from each balancer.
-        runs: Runs under way by number.
-        by_identity: Run under way for each identity.
+        identity: Identity of the agent.
+        config: Configuration and state of its synchronization.
+        service: Last known record of the agent's service, or None.
+        sets: Earlier sets of agents of the service that still count, each
+            with the time until which it does.
+        flows: Flows that this agent owns, by caller.
+        directory: Pointers to the owners of flows that this agent is home
+            agent of.
+        tenure: Time for which it has been home agent without interruption.
+        referred: Home agent that a flow is referred to, and since when, by
+            caller. That agent queried for the flow's owner.
+        moved: Agent that a flow was recently moved to, and when, by caller.
+        asks: Pending queries for the owner of a flow, by caller.
+        peers: Last load reports of other agents of the service.
+        balancers_seen: Time of the last message from each balancer.
+        runs: Runs in progress by number.
+        by_identity: Run in progress for each identity of a request.
         started: Run at the backend server for each caller and token.
-        remote_runs: Run under way for each request of a peer.
+        remote_runs: Run in progress for each request of a peer.
         remote_replies: Recent replies to peers, for repeated requests.
-        guests: Callers that only runs of peers use a socket for.
-        delegations: Runs given to peers by run number.
-        claims: Claims under way by number.
-        outcomes: Outcomes of identities.
-        witness: Memory of what this agent granted.
+        guests: Callers whose socket to the backend server serves only runs of
+            peers, with the time of its last use.
+        delegations: Runs given to peers, by run number.
+        claims: Claims in progress by number.
+        outcomes: Outcomes of non-repeatable requests, by identity.
+        witness: Grants and fences that this agent gave as a witness.
         admission: Slots and queue of the backend server.
-        backend_draining_until: The backend server refuses new work.
+        backend_draining_until: Time until which a draining response of the
+            backend server is taken as valid.
         stopping: A planned stop has begun.
-        pauses: Detector of gaps in the own clock.
+        pauses: Detects pauses of this process.
         counters: Counts since the start.
-        decisions: The last decisions about requests, newest last.
-        decided: How many decisions there were.
+        decisions: Last decisions about requests, newest last.
+        decided: Number of decisions since the start.
         latencies: Time from arrival to answer by kind, microseconds.
-        next_report_at: When to report the load next.
-        next_ping_at: When to ping a few balancers next.
-        next_announce_at: When to announce the flows next.
-        next_sweep_at: When to look for what has expired next.
-        next_number: Last number drawn for a run.
-        recovered: The peers have been asked for flows owned before.
-        sets_known: Enough peers have told which sets of agents still count.
-        told_sets: Peers that have told.
-        next_records_at: When to ask for the peers' memories next.
-        outbox: Effects that the current event has brought about.
+        next_report_at: Time of the next load report.
+        next_ping_at: Time of the next pings to balancers.
+        next_announce_at: Time of the next announcement of flows.
+        next_sweep_at: Time of the next removal of expired state.
+        next_number: Last number given to a run.
+        recovered: The peers were queried for flows that this agent owned
+            before its start.
+        sets_known: Enough peers have reported which earlier sets of agents
+            still count.
+        told_sets: Peers that have reported them.
+        next_records_at: Time of the next query for the peers' witness
+            records.
+        outbox: Effects of the current event or tick.
     """
 
     identity: AgentIdentity
@@ -189,7 +210,7 @@
     moved: dict[model.Endpoint, tuple[model.Endpoint, float]] = attrs.Factory(
         dict
     )
-    asks: dict[model.Endpoint, PendingAsk] = attrs.Factory(dict)
+    asks: dict[model.Endpoint, OwnerQuery] = attrs.Factory(dict)
     peers: dict[model.Endpoint, PeerState] = attrs.Factory(dict)
     balancers_seen: dict[model.Endpoint, float] = attrs.Factory(dict)
     runs: dict[int, Run] = attrs.Factory(dict)
@@ -226,13 +247,20 @@
     outbox: list[model.Effect] = attrs.Factory(list)
 
     def send(self, to: model.Endpoint, message: model.Message) -> None:
-        """Puts a message to a peer into the outbox."""
+        """Adds a message to a peer to the outbox."""
         self.outbox.append(model.SendPeer(to, message))
 
     def note_decision(
         self, run: Run, outcome: str, reason: str, now: float
     ) -> None:
-        """Keeps what was decided about a request, for operators."""
+        """Records a decision about a request for operators.
+
+        Args:
+            run: Run of the request.
+            outcome: How it ended, or what was done instead.
+            reason: Short name of the cause; empty for an ordinary answer.
+            now: Runtime clock, seconds.
+        """
         self.decided += 1
         request = run.request
         path = "/".join(request.path)
@@ -255,13 +283,13 @@
         return self.next_number
 
     def known_agents(self) -> list[model.Endpoint]:
-        """Returns all other agents of the service, now and formerly."""
+        """Returns the other agents of the current and earlier sets."""
         former = [agent for agents in self.sets for agent in agents]
         everybody = dict.fromkeys([*self.other_agents(), *former])
         return [agent for agent in everybody if agent != self.identity.peer]
 
     def other_agents(self) -> list[model.Endpoint]:
-        """Returns the published agents of the service but this one."""
+        """Returns the published agents of the service except this one."""
         if self.service is None:
             return []
         own = self.identity.peer
@@ -273,7 +301,7 @@
     now: float,
     seeds: tuple[model.Endpoint, ...] = (),
 ) -> AgentBoard:
-    """Makes the blackboard of an agent that starts now."""
+    """Makes the state of an agent that starts now."""
     config = ConfigBoard(
         store=parts.RevisionStore(),
         service=identity.service,
@@ -283,11 +311,11 @@
     )
     return AgentBoard(
         identity=identity,
-        next_number=identity.incarnation << RUN_BITS,
+        next_number=identity.incarnation << RUN_COUNTER_BITS,
         config=config,
         tenure=parts.Tenure(needed_s=identity.idle_s, since=now),
         directory=parts.Directory(
-            lease_s=LEASE_PER_IDLE * identity.idle_s,
+            lease_s=POINTER_LEASE_PER_IDLE * identity.idle_s,
             capacity=DIRECTORY_CAPACITY,
         ),
         witness=parts.Witness(
--- a/notchhoist/blackboards/balancer.py
+++ b/notchhoist/blackboards/balancer.py
@@ -1,4 +1,4 @@
-"""The blackboard of a balancer."""
+"""State of a balancer (its blackboard)."""
 
 from collections import OrderedDict
 
@@ -8,17 +8,17 @@
 from notchhoist.blackboards.common import ConfigBoard, Counters
 
 HINT_CAPACITY = 200_000
-"""Most flows that a balancer keeps a hint for."""
+"""Largest number of flows that a balancer keeps a hint for."""
 
 
 @attrs.frozen
 class BalancerIdentity:
-    """Who a balancer is, from its settings.
+    """Identity of a balancer, from its settings.
 
     Attributes:
         name: Name of its host.
         zone: Availability zone.
-        peer: Its own peer endpoint.
+        peer: Peer endpoint of the balancer.
     """
 
     name: str
@@ -28,13 +28,13 @@
 
 @attrs.define
 class AgentHealth:
-    """What traffic shows of an agent.
+    """Health of an agent, as seen in the messages exchanged with it.
 
     Attributes:
-        unanswered_since: Runtime clock of the oldest message to it that
-            nothing has answered, or None.
-        pinged_at: Runtime clock of the last ping.
-        suspected: It is taken for dead until it answers.
+        unanswered_since: Runtime clock of the first message to it since its
+            last answer, seconds, or None.
+        pinged_at: Runtime clock of the last ping, seconds.
+        suspected: It counts as dead until it answers.
     """
 
     unanswered_since: float | None = None
@@ -44,17 +44,17 @@
 
 @attrs.define
 class BalancerBoard:
-    """Everything that a balancer knows.
+    """State of a balancer.
 
     Attributes:
-        identity: Who it is.
-        config: Configuration and platform.
-        hints: Owner of each flow as last heard; bounded, least recent first.
-        agents: Health of the agents that were sent to.
-        pauses: Detector of gaps in the own clock.
+        identity: Identity of the balancer.
+        config: Configuration and state of its synchronization.
+        hints: Last known owner of each flow, least recently used first.
+        agents: Health of the agents that datagrams were forwarded to.
+        pauses: Detects pauses of this process.
         stopping: A planned stop has begun.
         counters: Counts since the start.
-        outbox: Effects that the current event has brought about.
+        outbox: Effects of the current event or tick.
     """
 
     identity: BalancerIdentity
@@ -71,7 +71,10 @@
     outbox: list[model.Effect] = attrs.Factory(list)
 
     def remember_hint(self, flow: model.FlowKey, owner: model.Endpoint) -> None:
-        """Notes where a flow lives; the least recent hint makes room."""
+        """Stores the owner of a flow as a hint.
+
+        Above the capacity the least recently used hint is dropped.
+        """
         self.hints[flow] = owner
         self.hints.move_to_end(flow)
         if len(self.hints) > HINT_CAPACITY:
@@ -83,7 +86,7 @@
     now: float,
     seeds: tuple[model.Endpoint, ...] = (),
 ) -> BalancerBoard:
-    """Makes the blackboard of a balancer that starts now."""
+    """Makes the state of a balancer that starts now."""
     config = ConfigBoard(
         store=parts.RevisionStore(),
         service="",
--- a/notchhoist/blackboards/common.py
+++ b/notchhoist/blackboards/common.py
@@ -1,4 +1,4 @@
-"""What the blackboards of both roles have in common."""
+"""State that agents and balancers have in common."""
 
 import collections
 import enum
@@ -9,7 +9,7 @@
 
 
 class Count(enum.StrEnum):
-    """Names of the counters."""
+    """Names of the counters in metrics and the state dump."""
 
     CALLER_DATAGRAMS = "caller_datagrams"
     CALLER_MALFORMED = "caller_malformed"
@@ -52,21 +52,22 @@
 Counters = collections.Counter[Count]
 
 DECISIONS_KEPT = 500
+"""Number of decisions that an agent keeps for operators."""
 
 
 @attrs.frozen
 class Decision:
-    """What was decided about a request, and why.
+    """A decision about a request, and its reason.
 
     Attributes:
-        number: Counts the decisions of this process.
+        number: Sequence number in this process, from 1.
         at: Runtime clock, seconds.
         caller: Endpoint of the caller, as text.
-        request: Method, path and message ID.
+        request: Method, path and message ID of the request.
         kind: Kind of request.
         outcome: How it ended, or what was done instead.
         reason: Short name of the cause; empty for an ordinary answer.
-        tries: How often it was started or delegated.
+        tries: Number of its executions so far, local or delegated.
     """
 
     number: int
@@ -81,24 +82,27 @@
 
 @attrs.define
 class ConfigBoard:
-    """What a process knows of the configuration and the platform.
+    """Configuration of a process and state of its synchronization.
+
+    Times are of the runtime clock, in seconds.
 
     Attributes:
-        store: The configuration in force.
-        service: Scope: only this service; empty for all.
+        store: Configuration in force.
+        service: The only service that the process keeps, or empty for all.
         zone: Availability zone of the process.
-        started_at: Runtime clock at the start, seconds.
+        started_at: Time of the start.
         seeds: Peers from the settings, for a start without the platform.
-        refused: Why the last refused document was refused, or None.
-        read_pending: A read of the configuration is under way.
-        hosts_pending: A read of the host list is under way.
-        next_ask_at: When to ask a peer next, runtime clock, seconds.
-        next_hosts_at: When to read the host list next, likewise.
-        next_read_at: No configuration read before this time.
+        refused: Why the last refused document was refused, or None. Cleared
+            when a higher revision is adopted.
+        read_pending: A read of the configuration is in progress.
+        hosts_pending: A read of the host list is in progress.
+        next_ask_at: Time of the next query to a peer.
+        next_hosts_at: Time of the next read of the host list.
+        next_read_at: Earliest time of the next read of the configuration.
         fresh_at: Last time that the platform or a peer answered.
-        leaving: Host names said to be leaving, with the time of the last
-            word of it.
-        revision_at: When the revision in force was adopted.
+        leaving: Hosts reported to be leaving, each with the time of the last
+            report.
+        revision_at: Time at which the revision in force was adopted.
     """
 
     store: parts.RevisionStore
--- a/notchhoist/controllers/__init__.py
+++ b/notchhoist/controllers/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions: controllers that read and write a blackboard, without I/O."""
+"""Controllers of the CoAP path: they act on a blackboard, without I/O."""
 
 from notchhoist.controllers.agent_node import AgentNode, make_agent
 from notchhoist.controllers.balancer_node import BalancerNode, make_balancer
--- a/notchhoist/controllers/agent_node.py
+++ b/notchhoist/controllers/agent_node.py
@@ -1,4 +1,4 @@
-"""The node of an agent."""
+"""Node of an agent: dispatches events and ticks to its controllers."""
 
 import random
 from collections.abc import Callable
@@ -15,28 +15,28 @@
 )
 from notchhoist.blackboards.agent import QUEUE_PER_SLOT
 from notchhoist.controllers.claims import ClaimKeeper
-from notchhoist.controllers.configuring import ConfigKeeper
+from notchhoist.controllers.config_sync import ConfigSynchronizer
 from notchhoist.controllers.delegating import DelegationKeeper
 from notchhoist.controllers.exchanges import ExchangeKeeper
 from notchhoist.controllers.flows import FlowKeeper
 from notchhoist.controllers.granting import ClaimFollower
 from notchhoist.controllers.loads import LoadKeeper
 from notchhoist.controllers.moving import FlowMover
-from notchhoist.controllers.node import drain
+from notchhoist.controllers.node import take_effects
 from notchhoist.controllers.outcomes import OutcomeKeeper
-from notchhoist.controllers.pointers import PointerKeeper
+from notchhoist.controllers.pointers import PointerReplicator
 from notchhoist.controllers.remembering import MemoryKeeper
 from notchhoist.controllers.running import RunKeeper
 
 
 @attrs.define
 class AgentNode:
-    """The decisions of an agent; see ``make_agent``."""
+    """Controllers of an agent on one blackboard; see ``make_agent``."""
 
     board: AgentBoard
-    config: ConfigKeeper
+    config: ConfigSynchronizer
     loads: LoadKeeper
-    pointers: PointerKeeper
+    pointers: PointerReplicator
     flows: FlowKeeper
     exchanges: ExchangeKeeper
     claims: ClaimKeeper
@@ -45,7 +45,7 @@
     memory: MemoryKeeper
 
     def handle(self, event: model.Event, now: float) -> list[model.Effect]:
-        """Takes an event and returns what is to be done."""
+        """Handles an event and returns the effects to perform."""
         match event:
             case model.PeerMessage():
                 self._on_peer(event.sender, event.message, now)
@@ -57,7 +57,7 @@
                 self.config.on_hosts(event, now)
             case _:
                 self.board.counters[Count.MISDIRECTED] += 1
-        return drain(self.board.outbox)
+        return take_effects(self.board.outbox)
 
     def _on_peer(
         self, sender: model.Endpoint, message: model.Message, now: float
@@ -72,7 +72,7 @@
         if self.board.service is None:
             self.board.counters[Count.NOT_READY] += 1
             return
-        self._on_coordination(sender, message, now)
+        self._on_service_message(sender, message, now)
 
     def _on_config(
         self,
@@ -83,9 +83,9 @@
         if isinstance(message, model.ConfigDiff):
             self.config.on_difference(message, now)
         else:
-            self.config.on_ask(sender, message, now)
+            self.config.on_query(sender, message, now)
 
-    def _on_coordination(
+    def _on_service_message(
         self, sender: model.Endpoint, message: model.Message, now: float
     ) -> None:
         match message:
@@ -116,13 +116,13 @@
             case model.Records():
                 self.memory.on_records(sender, message, now)
             case model.AskOwner():
-                self.flows.on_ask_owner(sender, message, now)
+                self.flows.on_owner_query(sender, message, now)
             case model.TellOwner():
-                self.flows.on_tell_owner(sender, message, now)
+                self.flows.on_owner_reply(sender, message, now)
             case model.Announce():
                 self.pointers.on_announce(sender, message, now)
             case model.AskFlows():
-                self.pointers.on_ask_flows(sender, now)
+                self.pointers.on_flows_query(sender, now)
             case model.LeavingHosts():
                 self.config.on_leaving(message, now)
             case model.Ping():
@@ -153,7 +153,7 @@
             self.board.counters[Count.STRAY_RESPONSES] += 1
 
     def tick(self, now: float) -> list[model.Effect]:
-        """Does what is due and returns what is to be done."""
+        """Performs periodic work and returns the effects to perform."""
         if self.board.pauses.observe(now):
             self._on_pause(now)
         self.config.tick(now)
@@ -166,21 +166,21 @@
         for agents, until in list(self.board.sets.items()):
             if now > until:
                 del self.board.sets[agents]
-        return drain(self.board.outbox)
+        return take_effects(self.board.outbox)
 
     def _on_pause(self, now: float) -> None:
-        """What was known before a pause may be old by now."""
+        """Discards pointers, which may have become stale during a pause."""
         self.board.counters[Count.PAUSES] += 1
         self.board.tenure.restart(now)
         self.board.directory.pointers.clear()
 
     def on_config_change(self, now: float) -> None:
-        """Applies a revision that has come into force."""
+        """Applies the service's record of a newly adopted revision."""
         board = self.board
         record = board.config.store.services.get(board.identity.service)
         if record is None or record == board.service:
             return
-        self._note_sets(record, now)
+        self._keep_former_sets(record, now)
         changed = board.service is None or set(record.agents()) != set(
             board.service.agents()
         )
@@ -194,10 +194,14 @@
         elif changed:
             board.tenure.restart(now)
             self.pointers.announce(self.pointers.pinned_flows())
-            self.pointers.hand_over(now)
+            self.pointers.hand_over_pointers(now)
 
-    def _note_sets(self, record: model.Service, now: float) -> None:
-        """Sets of agents that were in force count for a lifetime more."""
+    def _keep_former_sets(self, record: model.Service, now: float) -> None:
+        """Keeps former sets of agents for one more memory lifetime.
+
+        During that time their agents still count as witnesses and as home
+        agents.
+        """
         until = now + record.memory_s
         former = [group.agents for group in record.former]
         if self.board.service is not None:
@@ -215,13 +219,17 @@
         self.board.admission.queue_limit = server.slots * QUEUE_PER_SLOT
 
     def stop(self, now: float) -> list[model.Effect]:
-        """Begins a planned stop: no new work, and the peers are told."""
+        """Begins a planned stop.
+
+        From now on the load reports say that this agent takes no new work;
+        one is sent to every peer at once.
+        """
         self.board.stopping = True
         self.loads.report(now)
-        return drain(self.board.outbox)
+        return take_effects(self.board.outbox)
 
     def is_idle(self) -> bool:
-        """Tells whether no request is in progress here."""
+        """Returns whether no run is in progress at this agent."""
         return not any(
             run.state is not RunState.DONE for run in self.board.runs.values()
         )
@@ -233,21 +241,21 @@
     seed: int,
     seeds: tuple[model.Endpoint, ...] = (),
 ) -> AgentNode:
-    """Makes the decisions of an agent that starts now.
+    """Makes the node of an agent that starts now.
 
     Args:
-        identity: Who it is.
+        identity: Identity of the agent, from its settings.
         now: Runtime clock, seconds.
-        seed: Seed of every draw.
-        seeds: Peers to ask where the platform is down.
+        seed: Seed of the random number generator.
+        seeds: Peers to query for the configuration if the platform is down.
 
     Returns:
-        A node that has heard of nothing yet.
+        A node without configuration and without knowledge of its peers.
     """
     board = make_agent_board(identity, now, seeds)
     rng = random.Random(seed)
     loads = LoadKeeper(board)
-    pointers = PointerKeeper(board)
+    pointers = PointerReplicator(board)
     flows = FlowKeeper(board, loads, pointers, rng)
     pointers.adopt = flows.adopt
     exchanges = ExchangeKeeper(board, loads)
@@ -264,7 +272,7 @@
     delegations = DelegationKeeper(board, loads, exchanges, runs)
     node = AgentNode(
         board=board,
-        config=_agent_config(board, rng),
+        config=_make_config_synchronizer(board, rng),
         loads=loads,
         pointers=pointers,
         flows=flows,
@@ -274,13 +282,15 @@
         delegations=delegations,
         memory=MemoryKeeper(board, claims, on_new_sets=pointers.recover),
     )
-    _connect(node)
+    _connect_controllers(node)
     return node
 
 
-def _agent_config(board: AgentBoard, rng: random.Random) -> ConfigKeeper:
+def _make_config_synchronizer(
+    board: AgentBoard, rng: random.Random
+) -> ConfigSynchronizer:
     unset: Callable[[float], None] = lambda _: None  # noqa: E731
-    return ConfigKeeper(
+    return ConfigSynchronizer(
         board=board.config,
         counters=board.counters,
         outbox=board.outbox,
@@ -292,8 +302,8 @@
     )
 
 
-def _connect(node: AgentNode) -> None:
-    """Lets the controllers of an agent call each other."""
+def _connect_controllers(node: AgentNode) -> None:
+    """Sets the callbacks between the controllers of an agent."""
     node.config.on_change = node.on_config_change
     node.flows.on_datagram = node.exchanges.on_datagram
     node.exchanges.on_run = node.runs.submit
--- a/notchhoist/controllers/balancer_node.py
+++ b/notchhoist/controllers/balancer_node.py
@@ -1,4 +1,4 @@
-"""The node of a balancer."""
+"""Node of a balancer: dispatches events and ticks to its controllers."""
 
 import random
 
@@ -12,20 +12,20 @@
     make_balancer_board,
 )
 from notchhoist.controllers.balancing import FlowForwarder
-from notchhoist.controllers.configuring import ConfigKeeper
-from notchhoist.controllers.node import drain
+from notchhoist.controllers.config_sync import ConfigSynchronizer
+from notchhoist.controllers.node import take_effects
 
 
 @attrs.define
 class BalancerNode:
-    """The decisions of a balancer; see ``make_balancer``."""
+    """Controllers of a balancer on one blackboard; see ``make_balancer``."""
 
     board: BalancerBoard
-    config: ConfigKeeper
+    config: ConfigSynchronizer
     forwarder: FlowForwarder
 
     def handle(self, event: model.Event, now: float) -> list[model.Effect]:
-        """Takes an event and returns what is to be done."""
+        """Handles an event and returns the effects to perform."""
         match event:
             case model.CallerDatagram():
                 self.forwarder.on_caller(event, now)
@@ -37,7 +37,7 @@
                 self.config.on_hosts(event, now)
             case _:
                 self.board.counters[Count.MISDIRECTED] += 1
-        return drain(self.board.outbox)
+        return take_effects(self.board.outbox)
 
     def _on_peer(
         self, sender: model.Endpoint, message: model.Message, now: float
@@ -46,7 +46,7 @@
             case model.Deliver():
                 self.forwarder.on_deliver(sender, message, now)
             case model.ConfigAsk():
-                self.config.on_ask(sender, message, now)
+                self.config.on_query(sender, message, now)
             case model.ConfigDiff():
                 self.config.on_difference(message, now)
             case model.LeavingHosts():
@@ -56,23 +56,23 @@
                     model.SendPeer(sender, model.Pong(message.nonce))
                 )
             case model.Pong():
-                self.forwarder.note_alive(sender)
+                self.forwarder.record_answer(sender)
             case _:
                 self.board.counters[Count.MISDIRECTED] += 1
 
     def tick(self, now: float) -> list[model.Effect]:
-        """Does what is due and returns what is to be done."""
+        """Performs periodic work and returns the effects to perform."""
         self.config.tick(now)
         self.forwarder.tick(now)
-        return drain(self.board.outbox)
+        return take_effects(self.board.outbox)
 
     def stop(self, now: float) -> list[model.Effect]:
-        """Begins a planned stop."""
+        """Begins a planned stop; datagrams are still forwarded."""
         self.board.stopping = True
-        return drain(self.board.outbox)
+        return take_effects(self.board.outbox)
 
     def is_idle(self) -> bool:
-        """A balancer keeps nothing that a stop could cut."""
+        """Returns True: a balancer has no state that a stop would interrupt."""
         return True
 
 
@@ -82,20 +82,20 @@
     seed: int,
     seeds: tuple[model.Endpoint, ...] = (),
 ) -> BalancerNode:
-    """Makes the decisions of a balancer that starts now.
+    """Makes the node of a balancer that starts now.
 
     Args:
-        identity: Who it is.
+        identity: Identity of the balancer, from its settings.
         now: Runtime clock, seconds.
-        seed: Seed of every draw.
-        seeds: Peers to ask where the platform is down.
+        seed: Seed of the random number generator.
+        seeds: Peers to query for the configuration if the platform is down.
 
     Returns:
-        A node that has heard of nothing yet.
+        A node without configuration and without knowledge of any agent.
     """
     board = make_balancer_board(identity, now, seeds)
     rng = random.Random(seed)
-    config = ConfigKeeper(
+    config = ConfigSynchronizer(
         board=board.config,
         counters=board.counters,
         outbox=board.outbox,
--- a/notchhoist/controllers/configuring.py
+++ b/notchhoist/controllers/config_sync.py
@@ -1,10 +1,11 @@
-"""Configuration and host list: read by a few, relayed to all.
-
-In each availability zone a few balancers, the watchers, hold reads at the
-platform. A watcher pushes what is new to the balancers of its zone and to the
-agents of the changed services there. Everybody also asks one balancer every
-now and then for what came after its own revision, which repairs lost pushes
-and cuts. The highest revision wins everywhere.
+"""Distribution of the configuration and the host list to all processes.
+
+In each availability zone a few balancers, the watchers, read from the
+platform by long polling. A watcher pushes each change to the balancers of its
+zone, and to the agents of the changed services in its zone and in zones
+without a balancer. Every process also queries one balancer periodically for
+changes after its own revision; this makes up for lost pushes and for network
+partitions. The highest revision wins everywhere.
 """
 
 import random
@@ -17,42 +18,49 @@
 from notchhoist.blackboards import ConfigBoard, Count, Counters
 
 WATCHERS_PER_ZONE = 2
-WATCH_S = 30.0
-READ_PAUSE_S = 0.5
-"""Time between two reads of one watcher at the least, seconds."""
+READ_WAIT_S = 30.0
+"""Time that a watcher's read waits at the platform for a change, seconds."""
+
+MIN_READ_INTERVAL_S = 0.5
+"""Shortest time between two reads of one process, seconds."""
 
-ASK_S = 1.5
-"""Time between two questions to peers, seconds, give or take a half."""
+QUERY_INTERVAL_S = 1.5
+"""Mean time between two queries to peers, seconds; it varies by a half."""
 
-START_ASK_S = 0.2
-"""The same for a process that has no configuration yet, seconds."""
+START_QUERY_INTERVAL_S = 0.2
+"""The same for a process without a configuration, seconds."""
+
+HOSTS_READ_INTERVAL_S = 2.0
 
-HOSTS_S = 2.0
 LEAVING_LEASE_S = 20.0
-"""Word that a host is leaving is void when nobody repeats it this long."""
+"""Time after which an unrepeated report of a leaving host expires, seconds."""
 
-LONELY_S = 8.0
-"""A process that hears from nobody this long reads the platform itself."""
+ISOLATED_AFTER_S = 8.0
+"""Time without an answer after which a process is isolated, seconds.
+
+It then reads from the platform itself.
+"""
 
 START_READ_SPREAD_S = 2.0
-"""Where peers are known, first reads are spread over this time, seconds."""
+"""Time over which first reads are spread if peers are known, seconds."""
 
-ZONE_PREFERENCE = 0.8
+LOCAL_ZONE_SHARE = 0.8
+"""Share of queries that go to a balancer of the local zone."""
 
 
 @attrs.define
-class ConfigKeeper:
-    """Keeps the configuration in force at one process.
+class ConfigSynchronizer:
+    """Keeps the configuration of one process up to date.
 
     Attributes:
-        board: What the process knows of configuration and platform.
-        counters: The process's counters.
-        outbox: Where effects go.
-        peer: The process's own peer endpoint.
+        board: Configuration in force and state of its synchronization.
+        counters: Counters of the process.
+        outbox: Receives the effects to perform.
+        peer: Peer endpoint of the process.
         host: Name of the process's host.
-        may_watch: The process is a balancer.
-        rng: Source of every draw.
-        on_change: Called after a revision came into force.
+        may_watch: The process is a balancer and may become a watcher.
+        rng: Random number generator.
+        on_change: Called with the runtime clock after a revision is adopted.
     """
 
     board: ConfigBoard
@@ -65,24 +73,28 @@
     on_change: Callable[[float], None]
 
     def __attrs_post_init__(self) -> None:
-        """Spreads first reads where peers can be asked meanwhile."""
+        """Delays the first read at random if peers can be queried meanwhile."""
         if self.board.seeds:
             delay = self.rng.uniform(0.0, START_READ_SPREAD_S)
             self.board.next_read_at = self.board.started_at + delay
 
     def tick(self, now: float) -> None:
-        """Does what is due: reads, questions and refreshes."""
+        """Reads from the platform and queries peers when it is time."""
         self._expire_leaving(now)
         self._read_if_due(now)
         if self.is_watcher() and not self.board.hosts_pending:
             self._read_hosts_if_due(now)
         if now >= self.board.next_ask_at:
-            gap = ASK_S if self.board.store.revision else START_ASK_S
-            self.board.next_ask_at = now + gap * self.rng.uniform(0.5, 1.5)
-            self._ask_somebody()
+            interval = (
+                QUERY_INTERVAL_S
+                if self.board.store.revision
+                else START_QUERY_INTERVAL_S
+            )
+            self.board.next_ask_at = now + interval * self.rng.uniform(0.5, 1.5)
+            self._query_peer()
 
     def is_watcher(self) -> bool:
-        """Tells whether this process holds reads at the platform."""
+        """Returns whether this process is a watcher of its zone."""
         return self.may_watch and self.peer in self._watchers()
 
     def _watchers(self) -> list[model.Endpoint]:
@@ -102,15 +114,17 @@
         if board.store.revision == 0:
             self._read(now, wait_s=0.0)
         elif self.is_watcher():
-            self._read(now, wait_s=WATCH_S)
-        elif now - board.fresh_at > LONELY_S:
-            board.next_read_at = now + LONELY_S * self.rng.uniform(0.5, 1.5)
+            self._read(now, wait_s=READ_WAIT_S)
+        elif now - board.fresh_at > ISOLATED_AFTER_S:
+            board.next_read_at = now + ISOLATED_AFTER_S * self.rng.uniform(
+                0.5, 1.5
+            )
             self._read(now, wait_s=0.0)
 
     def _read(self, now: float, wait_s: float) -> None:
         board = self.board
         board.read_pending = True
-        board.next_read_at = max(board.next_read_at, now + READ_PAUSE_S)
+        board.next_read_at = max(board.next_read_at, now + MIN_READ_INTERVAL_S)
         self.counters[Count.PLATFORM_READS] += 1
         self.outbox.append(
             model.ReadConfiguration(board.store.revision, wait_s)
@@ -119,12 +133,12 @@
     def _read_hosts_if_due(self, now: float) -> None:
         if now < self.board.next_hosts_at:
             return
-        self.board.next_hosts_at = now + HOSTS_S
+        self.board.next_hosts_at = now + HOSTS_READ_INTERVAL_S
         self.board.hosts_pending = True
         self.counters[Count.PLATFORM_READS] += 1
         self.outbox.append(model.ReadHosts())
 
-    def _ask_somebody(self) -> None:
+    def _query_peer(self) -> None:
         peer = self._choose_peer()
         if peer is None:
             return
@@ -140,16 +154,16 @@
 
     def _choose_peer(self) -> model.Endpoint | None:
         hosts = self.board.store.balancers
-        near = [host.peer for host in hosts if host.zone == self.board.zone]
-        everywhere = [host.peer for host in hosts]
-        prefer_near = near and self.rng.random() < ZONE_PREFERENCE
-        candidates = near if prefer_near else everywhere
+        local = [host.peer for host in hosts if host.zone == self.board.zone]
+        all_zones = [host.peer for host in hosts]
+        prefer_local = local and self.rng.random() < LOCAL_ZONE_SHARE
+        candidates = local if prefer_local else all_zones
         others = [peer for peer in candidates if peer != self.peer]
         others = others or [s for s in self.board.seeds if s != self.peer]
         return self.rng.choice(others) if others else None
 
     def on_read(self, event: model.ConfigurationRead, now: float) -> None:
-        """Takes the platform's answer."""
+        """Handles the result of a configuration read."""
         self.board.read_pending = False
         if event.failed:
             self.counters[Count.PLATFORM_FAILURES] += 1
@@ -157,22 +171,24 @@
             return
         self.board.fresh_at = now
         if event.document:
-            self._take_document(event.document, now)
+            self._adopt_document(event.document, now)
 
-    def _take_document(self, text: bytes, now: float) -> None:
+    def _adopt_document(self, text: bytes, now: float) -> None:
         result = documents.parse_configuration(text)
         if not isinstance(result, Success):
-            self._refuse(result.failure())
+            self._record_refusal(result.failure())
             return
-        document = self._scoped(result.unwrap())
+        document = self._restrict_to_scope(result.unwrap())
         before = self.board.store.revision
         if document.revision == before and self._differs(document):
-            self._refuse(_conflict(document))
+            self._record_refusal(_revision_conflict(document))
         if not self.board.store.adopt(document):
             return
-        self._note_change(before, now)
+        self._on_adopted(before, now)
 
-    def _scoped(self, document: model.Configuration) -> model.Configuration:
+    def _restrict_to_scope(
+        self, document: model.Configuration
+    ) -> model.Configuration:
         if not self.board.service:
             return document
         return attrs.evolve(
@@ -189,11 +205,11 @@
         in_force = self.board.store.services
         return {item.name: item for item in document.services} != in_force
 
-    def _refuse(self, refused: model.ConfigurationRefusedError) -> None:
+    def _record_refusal(self, refused: model.ConfigurationRefusedError) -> None:
         self.board.refused = refused
         self.counters[Count.CONFIG_REFUSED] += 1
 
-    def _note_change(self, before: int, now: float) -> None:
+    def _on_adopted(self, before: int, now: float) -> None:
         self.counters[Count.CONFIG_ADOPTED] += 1
         self.board.revision_at = now
         refused = self.board.refused
@@ -205,10 +221,10 @@
 
     def _push(self, before: int) -> None:
         store = self.board.store
-        whole = self._difference(before, "", "")
+        full = self._encode_difference(before, "", "")
         for host in store.balancers:
             if host.zone == self.board.zone and host.peer != self.peer:
-                self.outbox.append(model.SendPeer(host.peer, whole))
+                self.outbox.append(model.SendPeer(host.peer, full))
         for service in store.since(before).services:
             self._push_service(service, before)
 
@@ -216,10 +232,12 @@
         watched = {host.zone for host in self.board.store.balancers}
         for server in service.servers:
             if server.zone == self.board.zone or server.zone not in watched:
-                message = self._difference(before, service.name, server.zone)
+                message = self._encode_difference(
+                    before, service.name, server.zone
+                )
                 self.outbox.append(model.SendPeer(server.agent, message))
 
-    def _difference(
+    def _encode_difference(
         self, revision: int, service: str, zone: str
     ) -> model.ConfigDiff:
         difference = self.board.store.since(revision, service, zone)
@@ -237,36 +255,44 @@
             service=service,
         )
 
-    def on_ask(
-        self, sender: model.Endpoint, ask: model.ConfigAsk, now: float
+    def on_query(
+        self, sender: model.Endpoint, query: model.ConfigAsk, now: float
     ) -> None:
-        """Answers a peer that asks for what came after its revision."""
-        mine = self.board.store.revision
-        if self.board.service not in ("", ask.service):
+        """Sends a peer the changes after its revision.
+
+        An agent answers for its own service only. A balancer whose revision
+        is newer than the local one is queried in turn.
+        """
+        own_revision = self.board.store.revision
+        if self.board.service not in ("", query.service):
             return
-        if ask.revision > mine and not ask.service:
-            self._ask_back(sender, mine)
-        reply = self._difference(min(ask.revision, mine), ask.service, ask.zone)
+        if query.revision > own_revision and not query.service:
+            self._query_back(sender, own_revision)
+        reply = self._encode_difference(
+            min(query.revision, own_revision), query.service, query.zone
+        )
         self.outbox.append(model.SendPeer(sender, reply))
 
-    def _ask_back(self, sender: model.Endpoint, mine: int) -> None:
-        ask = model.ConfigAsk(mine, self.board.service, "")
-        self.outbox.append(model.SendPeer(sender, ask))
+    def _query_back(self, sender: model.Endpoint, own_revision: int) -> None:
+        query = model.ConfigAsk(own_revision, self.board.service, "")
+        self.outbox.append(model.SendPeer(sender, query))
 
     def on_difference(self, message: model.ConfigDiff, now: float) -> None:
-        """Takes what a peer says has changed."""
+        """Applies the changes that a peer sends."""
         if message.service not in ("", self.board.service):
             self.counters[Count.MISDIRECTED] += 1
             return
         self.board.fresh_at = now
         if message.revision <= self.board.store.revision:
             return
-        difference = self._decoded(message)
+        difference = self._decode_difference(message)
         before = self.board.store.revision
         if difference is not None and self.board.store.apply(difference):
-            self._note_change(before, now)
+            self._on_adopted(before, now)
 
-    def _decoded(self, message: model.ConfigDiff) -> parts.Difference | None:
+    def _decode_difference(
+        self, message: model.ConfigDiff
+    ) -> parts.Difference | None:
         services = [documents.parse_service(text) for text in message.changed]
         balancers = (
             documents.parse_balancers(message.balancers)
@@ -280,63 +306,71 @@
         ]
         if failures:
             problems = tuple(p for group in failures for p in group)
-            self._refuse(
+            self._record_refusal(
                 model.ConfigurationRefusedError(message.revision, problems)
             )
             return None
         return parts.Difference(
             revision=message.revision,
             base=message.base,
-            services=tuple(self._in_scope(s.unwrap() for s in services)),
+            services=tuple(
+                self._services_in_scope(s.unwrap() for s in services)
+            ),
             removed=tuple(message.removed),
             balancers=balancers.unwrap(),
         )
 
-    def _in_scope(
+    def _services_in_scope(
         self, services: Iterable[model.Service]
     ) -> Iterable[model.Service]:
-        wanted = self.board.service
-        return (item for item in services if wanted in ("", item.name))
+        scope = self.board.service
+        return (item for item in services if scope in ("", item.name))
 
     def on_hosts(self, event: model.HostsRead, now: float) -> None:
-        """Takes the platform's host list, which lags and may mislead."""
+        """Handles the result of a host list read.
+
+        The list lags and may be wrong, so it only marks hosts as leaving, and
+        each mark expires unless it is repeated.
+        """
         self.board.hosts_pending = False
         if event.failed:
             self.counters[Count.PLATFORM_FAILURES] += 1
             return
-        self._note_leaving(event.leaving, now)
+        self._record_leaving(event.leaving, now)
         if event.leaving:
-            self._tell_leaving(event.leaving)
+            self._relay_leaving(event.leaving)
 
-    def _tell_leaving(self, names: frozenset[str]) -> None:
+    def _relay_leaving(self, names: frozenset[str]) -> None:
         for service in self.board.store.services.values():
-            concerned = sorted(
+            leaving = sorted(
                 server.name
                 for server in service.servers
                 if server.name in names
             )
-            if not concerned:
+            if not leaving:
                 continue
             for agent in service.agents():
                 self.outbox.append(
-                    model.SendPeer(agent, model.LeavingHosts(concerned))
+                    model.SendPeer(agent, model.LeavingHosts(leaving))
                 )
 
     def on_leaving(self, message: model.LeavingHosts, now: float) -> None:
-        """Takes a watcher's word on leaving hosts."""
-        self._note_leaving(message.names, now)
+        """Records the leaving hosts that a watcher reports."""
+        self._record_leaving(message.names, now)
 
-    def _note_leaving(self, names: Iterable[str], now: float) -> None:
+    def _record_leaving(self, names: Iterable[str], now: float) -> None:
         for name in names:
             self.board.leaving[name] = now
 
     def _expire_leaving(self, now: float) -> None:
-        for name, heard in list(self.board.leaving.items()):
-            if now - heard > LEAVING_LEASE_S:
+        for name, reported_at in list(self.board.leaving.items()):
+            if now - reported_at > LEAVING_LEASE_S:
                 del self.board.leaving[name]
 
 
-def _conflict(document: model.Configuration) -> model.ConfigurationRefusedError:
+def _revision_conflict(
+    document: model.Configuration,
+) -> model.ConfigurationRefusedError:
     problem = model.ConfigurationProblem(
         "revision",
         "a higher revision: another document of this revision is in force",
--- a/notchhoist/controllers/moving.py
+++ b/notchhoist/controllers/moving.py
@@ -1,4 +1,4 @@
-"""Moves: flows that begin something which another agent had better take."""
+"""Moves whole flows to another agent when a stream or an upload begins."""
 
 import attrs
 
@@ -10,12 +10,12 @@
 
 @attrs.define
 class FlowMover:
-    """Moves a whole flow, with the request that it begins with.
+    """Moves a whole flow to another agent, together with a request of it.
 
     Attributes:
-        board: Everything that the agent knows.
-        loads: The load of the peers.
-        flows: The flows.
+        board: State of the agent.
+        loads: Load and liveness of the peers.
+        flows: Ownership of flows.
     """
 
     board: AgentBoard
@@ -23,10 +23,14 @@
     flows: FlowKeeper
 
     def move_stream(self, run: Run, now: float) -> bool:
-        """Opens a stream elsewhere, because this server is leaving.
+        """Moves a flow whose stream cannot open at a draining server.
+
+        Args:
+            run: Run of the request that opens the stream.
+            now: Runtime clock, seconds.
 
         Returns:
-            False where the flow has to stay or nobody can take it.
+            False if the flow is pinned or no other agent can take it.
         """
         flow = self.board.flows.get(run.caller)
         target = self.flows.choose_owner(now)
@@ -38,14 +42,18 @@
         return True
 
     def move_upload(self, run: Run, now: float) -> bool:
-        """Begins an upload elsewhere where no slot is free here.
+        """Moves a flow whose upload begins while no slot is free here.
+
+        The whole flow moves, so that later blocks reach the new owner without
+        being relayed by this agent.
 
-        The whole flow moves, so that later blocks find their way without
-        this agent.
+        Args:
+            run: Run of the request with the upload's first block.
+            now: Runtime clock, seconds.
 
         Returns:
-            False where the upload is not the only thing in its flow, or no
-            other agent has a free slot.
+            False if the flow holds another stream or upload too, a local slot
+            is free, or no other agent has a free slot.
         """
         flow = self.board.flows.get(run.caller)
         block = run.request.block1
--- a/notchhoist/controllers/node.py
+++ b/notchhoist/controllers/node.py
@@ -1,7 +1,8 @@
-"""Nodes: the whole decision logic of one process behind one small boundary.
+"""Interface of nodes: the complete logic of one process, without I/O.
 
-A node takes an event or a tick with the time, and gives back effects. It does
-no I/O and reads no clock, so that any harness can drive it.
+A node handles events and ticks, each with the current time, and returns the
+effects to perform. It reads no clock and does no I/O, so that the daemon and
+the simulated network of the tests can drive the same code.
 """
 
 from typing import Protocol
@@ -10,31 +11,31 @@
 from notchhoist.blackboards import AgentBoard, BalancerBoard
 
 TICK_S = 0.05
-"""Time between two ticks that a node is meant to get, seconds."""
+"""Interval at which a node's ``tick`` is to be called, seconds."""
 
 
 class Node(Protocol):
-    """What a harness drives."""
+    """Logic of one process, as the daemon or a test drives it."""
 
     @property
     def board(self) -> AgentBoard | BalancerBoard:
-        """The blackboard, for inspection."""
+        """State of the node, for inspection."""
 
     def handle(self, event: model.Event, now: float) -> list[model.Effect]:
-        """Takes an event and returns what is to be done."""
+        """Handles an event and returns the effects to perform."""
 
     def tick(self, now: float) -> list[model.Effect]:
-        """Does what is due and returns what is to be done."""
+        """Performs periodic work and returns the effects to perform."""
 
     def stop(self, now: float) -> list[model.Effect]:
-        """Begins a planned stop."""
+        """Begins a planned stop and returns the effects to perform."""
 
     def is_idle(self) -> bool:
-        """Tells whether a planned stop would cut nothing."""
+        """Returns whether the process can exit without interrupting work."""
 
 
-def drain(outbox: list[model.Effect]) -> list[model.Effect]:
-    """Empties an outbox and returns what was in it."""
+def take_effects(outbox: list[model.Effect]) -> list[model.Effect]:
+    """Empties an outbox and returns the effects that were in it."""
     effects = list(outbox)
     outbox.clear()
     return effects
--- a/notchhoist/controllers/tests/test_configuring.py
+++ b/notchhoist/controllers/tests/test_config_sync.py
@@ -1,4 +1,4 @@
-"""Configuration in force within seconds, never reverting."""
+"""Tests of configuration distribution: in force in time, never reverted."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 IN_FORCE_S = 4.0
 
 
-def started(nodes=24, seed=5):
+def start_fleet(nodes=24, seed=5):
     fleet = make_fleet(nodes, seed)
     assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
     fleet.world.run(3.0)
@@ -23,17 +23,20 @@
     ]
 
 
-def test_a_change_is_in_force_everywhere_within_4_s():
-    fleet = started()
+def test_change_is_in_force_everywhere_within_4_s():
+    fleet = start_fleet()
     for weight in (2.0, 3.0, 4.0):
         fleet.publish_weight(weight)
         assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
         fleet.world.run(1.0)
 
 
-def test_issue_4_a_watcher_that_heard_from_a_peer_pushes_too():
-    """It kept quiet, and its zone waited for the next question."""
-    fleet = started()
+def test_issue_4_watcher_pushes_changes_received_from_a_peer():
+    """A watcher pushed only what it had read from the platform itself.
+
+    Its zone then waited for the next periodic query.
+    """
+    fleet = start_fleet()
     watcher = next(
         host.node
         for host in fleet.world.hosts.values()
@@ -48,23 +51,23 @@
     assert any(isinstance(item, model.ConfigDiff) for item in pushed)
 
 
-def test_issue_4_a_zone_without_a_balancer_is_pushed_to():
-    """Its agents waited for their next question, up to 2.25 s."""
-    fleet = started(nodes=10)
+def test_issue_4_zone_without_a_balancer_gets_pushes():
+    """Agents of such a zone waited up to 2.25 s for their next query."""
+    fleet = start_fleet(nodes=10)
     fleet.publish_weight(2.0)
     fleet.world.run(0.2)
     assert fleet.behind() == 0
 
 
-def test_a_third_of_lost_messages_does_not_stop_it():
-    fleet = started()
+def test_change_arrives_with_30_percent_message_loss():
+    fleet = start_fleet()
     fleet.world.loss = 0.3
     fleet.publish_weight(2.0)
     assert fleet.everywhere_after(3 * IN_FORCE_S) <= 3 * IN_FORCE_S
 
 
-def test_a_stale_platform_never_takes_a_started_process_back():
-    fleet = started()
+def test_stale_platform_does_not_revert_a_restarted_process():
+    fleet = start_fleet()
     old = fleet.world.platform.document
     fleet.publish_weight(2.0)
     fleet.everywhere_after(IN_FORCE_S)
@@ -76,8 +79,8 @@
     assert revisions(fleet) == [2] * len(fleet.world.hosts)
 
 
-def test_the_platform_down_for_long_keeps_the_last_good_state():
-    fleet = started()
+def test_last_good_configuration_survives_a_platform_outage():
+    fleet = start_fleet()
     fleet.publish_weight(2.0)
     fleet.everywhere_after(IN_FORCE_S)
     fleet.world.platform.down = True
@@ -91,8 +94,8 @@
     assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
 
 
-def test_a_cut_that_heals_brings_the_newest_everywhere():
-    fleet = started()
+def test_newest_revision_is_everywhere_after_a_partition_heals():
+    fleet = start_fleet()
     peers = list(fleet.world.hosts)
     half = len(peers) // 2
     fleet.world.cut(peers[:half], peers[half:])
@@ -104,8 +107,8 @@
     assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
 
 
-def test_all_watchers_dead_is_no_end():
-    fleet = started(nodes=40)
+def test_change_arrives_after_all_watchers_but_one_died():
+    fleet = start_fleet(nodes=40)
     watchers = [
         peer
         for peer, host in fleet.world.hosts.items()
@@ -118,8 +121,8 @@
     assert set(revisions(fleet)) == {2}
 
 
-def test_a_refused_document_keeps_the_last_good_one_and_says_why():
-    fleet = started()
+def test_refused_document_keeps_the_last_good_one_and_reports_why():
+    fleet = start_fleet()
     balancer = next(iter(fleet.world.hosts.values())).node
     text = b'{"revision": 9, "services": [{"name": "", "address": "x:1"}]}'
     balancer.handle(model.ConfigurationRead(text, False), fleet.world.now)
@@ -130,8 +133,8 @@
     assert places == ["services[0].name", "services[0].address"]
 
 
-def test_two_documents_of_one_revision_the_first_stays():
-    fleet = started()
+def test_first_of_two_documents_of_one_revision_stays():
+    fleet = start_fleet()
     balancer = next(iter(fleet.world.hosts.values())).node
     first = fleet.configuration.services[0]
     other = attrs.evolve(
@@ -143,8 +146,8 @@
     assert "higher revision" in str(balancer.board.config.refused)
 
 
-def test_a_peer_cannot_bring_an_older_revision_or_a_gap():
-    fleet = started()
+def test_difference_with_an_old_revision_or_a_gap_is_ignored():
+    fleet = start_fleet()
     balancer = next(iter(fleet.world.hosts.values())).node
     store = balancer.board.config.store
     sender = fleet.configuration.balancers[1].peer
@@ -155,8 +158,8 @@
         assert "service-0" in store.services
 
 
-def test_platform_reads_stay_few():
-    fleet = started(nodes=80)
+def test_rate_of_platform_reads_is_bounded():
+    fleet = start_fleet(nodes=80)
     reads = fleet.world.platform.reads
     fleet.world.run(20.0)
     assert (fleet.world.platform.reads - reads) / 20.0 < 20.0
--- a/notchhoist/controllers/tests/test_opaque.py
+++ b/notchhoist/controllers/tests/test_opaque.py
@@ -1,4 +1,4 @@
-"""Opaque services: any UDP, forwarded by flow alone."""
+"""Tests of opaque services: any UDP datagram, forwarded by its flow alone."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 @attrs.define
 class Echo:
-    """A backend server that sends everything back."""
+    """A backend server that returns each datagram with its name as prefix."""
 
     name: str
     got: list[bytes] = attrs.Factory(list)
@@ -31,7 +31,7 @@
 
 @attrs.define
 class Listener:
-    """A caller that keeps what it gets."""
+    """A caller that records the datagrams that it receives."""
 
     got: list[bytes] = attrs.Factory(list)
 
@@ -69,7 +69,7 @@
     assert len({datagram.split(b":")[0] for datagram in got}) == 1
 
 
-def test_an_opaque_flow_survives_an_attached_server():
+def test_opaque_flow_survives_an_attached_server():
     world = make_world()
     send(world, b"before")
     plan = attrs.evolve(chaos.PLAN, kinds=(), slots=(3,) * 6)
