--- a/notchhoist/controllers/config_sync.py
+++ b/notchhoist/controllers/config_sync.py
@@ -342,16 +342,16 @@
 
     def _relay_leaving(self, names: frozenset[str]) -> None:
         for service in self.board.store.services.values():
-            leaving = sorted(
+            leaving_names = sorted(
                 server.name
                 for server in service.servers
                 if server.name in names
             )
-            if not leaving:
+            if not leaving_names:
                 continue
             for agent in service.agents():
                 self.outbox.append(
-                    model.SendPeer(agent, model.LeavingHosts(leaving))
+                    model.SendPeer(agent, model.LeavingHosts(leaving_names))
                 )
 
     def on_leaving(self, message: model.LeavingHosts, now: float) -> None:
