--- a/notchhoist/parts/__init__.py
+++ b/notchhoist/parts/__init__.py
@@ -1,11 +1,11 @@
-"""Coordination parts for others to embed: no I/O, the clock is an argument."""
+"""Embeddable coordination algorithms without I/O; callers pass the time."""
 
 from notchhoist.base.rendezvous import flow_hash_key, rank_nodes
 from notchhoist.parts.admission import Admission, Job, KindQueue, Ramp
 from notchhoist.parts.claim import Claim, Tally
 from notchhoist.parts.directory import Directory, Pointer
 from notchhoist.parts.placement import Candidate, most_free, two_choices
-from notchhoist.parts.recovery import combine, entry_of, take_in
+from notchhoist.parts.recovery import entry_of, merge_records, take_in
 from notchhoist.parts.revisions import (
     Difference,
     RevisionStore,
@@ -13,7 +13,7 @@
 )
 from notchhoist.parts.tenure import PauseDetector, Tenure
 from notchhoist.parts.witness import (
-    WITNESSES,
+    WITNESS_COUNT,
     Claimant,
     Decision,
     Record,
@@ -23,7 +23,7 @@
 )
 
 __all__ = [
-    "WITNESSES",
+    "WITNESS_COUNT",
     "Admission",
     "Candidate",
     "Claim",
@@ -42,10 +42,10 @@
     "Tenure",
     "Witness",
     "balancers_for",
-    "combine",
     "entry_of",
     "flow_hash_key",
     "majority_of",
+    "merge_records",
     "most_free",
     "rank_nodes",
     "take_in",
--- a/notchhoist/parts/admission.py
+++ b/notchhoist/parts/admission.py
@@ -1,23 +1,25 @@
-"""Admission: slots, a ramp, and a short queue by weight and deadline."""
+"""Admission control: an adaptive slot limit and a weighted deadline queue."""
 
 import math
 from typing import Protocol
 
 import attrs
 
-INITIAL_SERVICE_S = 0.05
-SMOOTHING = 0.2
-SHED_FACTOR = 0.85
-TIMEOUT_FACTOR = 0.5
+INITIAL_SERVICE_TIME_S = 0.05
+SERVICE_TIME_SMOOTHING = 0.2
+"""Weight of a new sample in the moving average of service times."""
+
+SHED_DECREASE_FACTOR = 0.85
+TIMEOUT_DECREASE_FACTOR = 0.5
 
 
 class Job(Protocol):
-    """What admission needs to know of a request.
+    """Attributes of a request that admission control uses.
 
     Attributes:
-        kind: Name of its kind.
-        weight: Share of slots of its kind relative to others.
-        deadline: Runtime clock, seconds, by which it has to be answered.
+        kind: Name of the kind of request.
+        weight: Share of slots of the kind, relative to other kinds.
+        deadline: Runtime clock by which the request must be answered, seconds.
     """
 
     kind: str
@@ -27,7 +29,10 @@
 
 @attrs.define
 class Ramp:
-    """How many slots are used: few at a cold start, fewer after trouble.
+    """Adaptive limit of the slots in use at a backend server.
+
+    The limit starts at one slot, rises additively with answers, and falls
+    multiplicatively when the server refuses a request or does not answer it.
 
     Examples:
         >>> ramp = Ramp(slots=4)
@@ -42,63 +47,63 @@
         2
 
     Attributes:
-        slots: Most slots ever used.
-        level: Slots in use as a fraction number, 1.0 to ``slots``.
+        slots: Upper bound of the limit.
+        level: The limit before rounding down, 1.0 to ``slots``.
     """
 
     slots: int
     level: float = 1.0
 
     def limit(self) -> int:
-        """Returns how many slots may be used now."""
+        """Returns the number of slots that may be in use now."""
         return max(1, min(self.slots, int(self.level)))
 
     def succeeded(self) -> None:
-        """Notes an answer: one more slot after each full round."""
+        """Raises the limit by one slot per ``level`` answered requests."""
         self.level = min(float(self.slots), self.level + 1.0 / self.level)
 
     def shed(self) -> None:
-        """Notes a request that the server refused: a little fewer slots."""
-        self.level = max(1.0, self.level * SHED_FACTOR)
+        """Lowers the limit slightly after a request that the server refused."""
+        self.level = max(1.0, self.level * SHED_DECREASE_FACTOR)
 
     def timed_out(self) -> None:
-        """Notes a request that the server did not answer: half the slots."""
-        self.level = max(1.0, self.level * TIMEOUT_FACTOR)
+        """Halves the limit after a request that the server did not answer."""
+        self.level = max(1.0, self.level * TIMEOUT_DECREASE_FACTOR)
 
 
 @attrs.define
 class KindQueue:
-    """Requests of one kind that wait, and the kind's place in the turn.
+    """Queue of the requests of one kind, with its virtual time.
 
     Attributes:
         weight: Share of slots relative to other kinds.
-        passed: Virtual time of the kind; the least goes next.
-        jobs: Those that wait, earliest deadline first.
-        service_s: Smoothed time that a run takes, seconds.
+        passed: Virtual time; the kind with the lowest is served next.
+        jobs: Queued requests, earliest deadline first.
+        service_s: Smoothed service time of a run, seconds.
     """
 
     weight: int
     passed: float = 0.0
     jobs: list[Job] = attrs.Factory(list)
-    service_s: float = INITIAL_SERVICE_S
+    service_s: float = INITIAL_SERVICE_TIME_S
 
 
 @attrs.define
 class Admission:
-    """Decides which request takes a slot next, and which never will.
+    """Decides which request takes a slot next, and which ones are refused.
 
-    Kinds take turns in proportion to their weights (stride scheduling), so a
-    heavy kind goes first but starves nobody; within a kind the earliest
-    deadline goes first.
+    Stride scheduling shares the slots among kinds in proportion to their
+    weights, so a kind with a high weight is served sooner but does not starve
+    the others. Within a kind the request with the earliest deadline is first.
 
     Attributes:
-        ramp: How many slots may be used.
-        queue_limit: Most requests that wait.
-        in_flight: Slots taken.
-        kinds: State of each kind.
-        turn: Virtual time of the last kind served.
-        service_s: Smoothed time that a run of any kind takes, seconds, or
-            None before the first.
+        ramp: Adaptive limit of the slots in use.
+        queue_limit: Maximum number of queued requests.
+        in_flight: Number of slots that are taken.
+        kinds: Queue of each kind, by its name.
+        turn: Virtual time of the kind that was served last.
+        service_s: Smoothed service time of a run of any kind, seconds; None
+            before the first run.
     """
 
     ramp: Ramp
@@ -109,43 +114,51 @@
     service_s: float | None = None
 
     def free(self) -> int:
-        """Returns how many slots new work could take now."""
+        """Returns the number of slots that new requests may take now.
+
+        It is zero while requests are queued, so that a new request does not
+        overtake them.
+        """
         if self.queued():
             return 0
         return max(0, self.ramp.limit() - self.in_flight)
 
     def queued(self) -> int:
-        """Returns how many requests wait."""
+        """Returns the number of queued requests."""
         return sum(len(queue.jobs) for queue in self.kinds.values())
 
     def waiting(self) -> list[Job]:
-        """Returns the requests that wait, earliest deadline first."""
+        """Returns the queued requests, earliest deadline first."""
         jobs = [job for queue in self.kinds.values() for job in queue.jobs]
         return sorted(jobs, key=lambda job: job.deadline)
 
     def is_full(self) -> bool:
-        """Tells whether no more requests may wait."""
+        """Tells whether the queue has reached its limit."""
         return self.queued() >= self.queue_limit
 
     def try_enter(self, job: Job) -> bool:
-        """Takes a slot at once, or tells that none is free."""
+        """Takes a slot for a request; False if none is free."""
         if self.free() <= 0:
             return False
-        self._charge(self._queue(job))
+        self._advance_virtual_time(self._queue_of(job))
         self.in_flight += 1
         return True
 
     def enqueue(self, job: Job) -> Job | None:
-        """Lets a request wait that ``can_meet`` its deadline.
+        """Queues a request.
+
+        The caller checks with ``can_meet`` first that the deadline of the
+        request can be met.
 
         Args:
             job: The request.
 
         Returns:
-            The request to refuse at once because the queue is full, which
-            may be the new one or a lighter one; or None.
+            None, or the request to refuse because the queue is full. It is
+            the one with the latest deadline of the kind that has the lowest
+            weight per queued request, and may be the new request itself.
         """
-        queue = self._queue(job)
+        queue = self._queue_of(job)
         if not queue.jobs:
             queue.passed = max(queue.passed, self.turn)
         queue.jobs.append(job)
@@ -155,16 +168,16 @@
         return self._evict()
 
     def next_job(self, now: float) -> tuple[Job | None, list[Job]]:
-        """Takes the next request off the queue if a slot is free.
+        """Dequeues the next request if a slot is free.
 
         Args:
             now: Runtime clock, seconds.
 
         Returns:
-            The request that has a slot now, or None; and the requests to
-            refuse because they can no longer be served in time.
+            The request that took a slot, or None; and the dequeued requests
+            to refuse because they can no longer be answered in time.
         """
-        late: list[Job] = []
+        unservable: list[Job] = []
         while self.in_flight < self.ramp.limit():
             waiting = [item for item in self.kinds.values() if item.jobs]
             if not waiting:
@@ -172,33 +185,37 @@
             queue = min(waiting, key=lambda item: item.passed)
             job = queue.jobs.pop(0)
             if now + queue.service_s > job.deadline:
-                late.append(job)
+                unservable.append(job)
                 continue
             self.turn = queue.passed
-            self._charge(queue)
+            self._advance_virtual_time(queue)
             self.in_flight += 1
-            return job, late
-        return None, late
+            return job, unservable
+        return None, unservable
 
     def leave(self, kind: str, service_s: float | None) -> None:
-        """Gives a slot back.
+        """Releases a slot.
 
         Args:
-            kind: Kind of the request that had it.
-            service_s: How long the run took, seconds; None where it says
-                nothing about the server's speed.
+            kind: Kind of the request that had the slot.
+            service_s: Service time of the run, seconds; None if the run is
+                no measure of the server's speed.
         """
         self.in_flight -= 1
         if service_s is None:
             return
-        known = self.service_s if self.service_s is not None else service_s
-        self.service_s = known + SMOOTHING * (service_s - known)
+        previous = self.service_s if self.service_s is not None else service_s
+        self.service_s = previous + SERVICE_TIME_SMOOTHING * (
+            service_s - previous
+        )
         queue = self.kinds.get(kind)
         if queue is not None:
-            queue.service_s += SMOOTHING * (service_s - queue.service_s)
+            queue.service_s += SERVICE_TIME_SMOOTHING * (
+                service_s - queue.service_s
+            )
 
     def remove(self, job: Job) -> bool:
-        """Takes a request off the queue; False where it does not wait."""
+        """Removes a request from the queue; False if it is not queued."""
         queue = self.kinds.get(job.kind)
         if queue is None or job not in queue.jobs:
             return False
@@ -206,13 +223,17 @@
         return True
 
     def retry_after_s(self) -> int:
-        """Returns when a slot is likely to be free, whole seconds."""
-        work = sum(
+        """Estimates the time until a slot is free, whole seconds.
+
+        The estimate is the time that the queued requests take at the current
+        slot limit, and at least one second.
+        """
+        queued_work_s = sum(
             len(queue.jobs) * queue.service_s for queue in self.kinds.values()
         )
-        return max(1, math.ceil(work / self.ramp.limit()))
+        return max(1, math.ceil(queued_work_s / self.ramp.limit()))
 
-    def _queue(self, job: Job) -> KindQueue:
+    def _queue_of(self, job: Job) -> KindQueue:
         queue = self.kinds.get(job.kind)
         if queue is None:
             queue = KindQueue(weight=job.weight, passed=self.turn)
@@ -220,33 +241,37 @@
         queue.weight = job.weight
         return queue
 
-    def _charge(self, queue: KindQueue) -> None:
+    def _advance_virtual_time(self, queue: KindQueue) -> None:
         queue.passed = max(queue.passed, self.turn) + 1.0 / queue.weight
 
     def can_meet(self, job: Job, now: float) -> bool:
-        """Tells whether a request that waits is likely to be served in time.
+        """Estimates whether a request would be answered in time if queued.
 
         Args:
             job: The request.
             now: Runtime clock, seconds.
         """
-        own = self._queue(job)
-        ahead = sum(1 for item in own.jobs if item.deadline <= job.deadline)
-        share = own.weight / self._active_weight(own)
-        wait = ahead * own.service_s / (self.ramp.limit() * share)
-        return now + wait + own.service_s <= job.deadline
+        kind_queue = self._queue_of(job)
+        queued_before = sum(
+            1 for item in kind_queue.jobs if item.deadline <= job.deadline
+        )
+        share = kind_queue.weight / self._active_weight(kind_queue)
+        queueing_s = (
+            queued_before * kind_queue.service_s / (self.ramp.limit() * share)
+        )
+        return now + queueing_s + kind_queue.service_s <= job.deadline
 
-    def _active_weight(self, own: KindQueue) -> int:
+    def _active_weight(self, kind_queue: KindQueue) -> int:
         others = sum(
             queue.weight
             for queue in self.kinds.values()
-            if queue.jobs and queue is not own
+            if queue.jobs and queue is not kind_queue
         )
-        return own.weight + others
+        return kind_queue.weight + others
 
     def _evict(self) -> Job:
-        lightest = min(
+        lowest_share = min(
             (queue for queue in self.kinds.values() if queue.jobs),
             key=lambda queue: queue.weight / len(queue.jobs),
         )
-        return lightest.jobs.pop()
+        return lowest_share.jobs.pop()
--- a/notchhoist/parts/claim.py
+++ b/notchhoist/parts/claim.py
@@ -1,4 +1,4 @@
-"""Claims: counting the votes of witnesses."""
+"""Claims: counts the votes of witnesses on a grant or a fence."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Tally(enum.Enum):
-    """How a claim stands."""
+    """Status of a claim."""
 
     OPEN = "open"
     WON = "won"
@@ -20,8 +20,8 @@
 class Claim:
     """Counts the votes on one grant or fence.
 
-    After a change of the set of agents a claim has to win in the old sets as
-    well as in the new one.
+    After a change of the set of agents, a claim needs a majority in the new
+    set and in each former set that still counts.
 
     Examples:
         >>> a, b, c = (model.Endpoint("w", n) for n in range(3))
@@ -36,32 +36,36 @@
 
     Attributes:
         sets: The witnesses in each set of agents that counts.
-        votes: The verdicts so far.
+        votes: The verdicts received so far, by witness.
     """
 
     sets: tuple[tuple[model.Endpoint, ...], ...]
     votes: dict[model.Endpoint, model.Verdict] = attrs.Factory(dict)
 
     def voters(self) -> list[model.Endpoint]:
-        """Returns every witness once, in order."""
+        """Returns the witnesses of all sets without duplicates, in order."""
         return list(
             dict.fromkeys(node for group in self.sets for node in group)
         )
 
     def vote(self, voter: model.Endpoint, verdict: model.Verdict) -> None:
-        """Notes a verdict; of two from one voter the first counts."""
+        """Records a verdict; only the first one of a witness counts."""
         if voter in self.voters():
             self.votes.setdefault(voter, verdict)
 
     def tally(self) -> Tally:
-        """Tells how the claim stands."""
-        tallies = [self._tally_in(group) for group in self.sets]
+        """Returns the status of the claim.
+
+        It is lost once one set can no longer reach a majority, and won once
+        every set has one.
+        """
+        tallies = [self._tally_of_set(group) for group in self.sets]
         if any(item is Tally.LOST for item in tallies):
             return Tally.LOST
         won = bool(tallies) and all(item is Tally.WON for item in tallies)
         return Tally.WON if won else Tally.OPEN
 
-    def _tally_in(self, group: tuple[model.Endpoint, ...]) -> Tally:
+    def _tally_of_set(self, group: tuple[model.Endpoint, ...]) -> Tally:
         needed = majority_of(len(group))
         votes = [self.votes.get(node) for node in group]
         granted = votes.count(model.Verdict.GRANTED)
--- a/notchhoist/parts/directory.py
+++ b/notchhoist/parts/directory.py
@@ -1,4 +1,4 @@
-"""A bounded directory of flows: pointers with a lease."""
+"""A bounded directory of the owners of flows, with leases."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -10,13 +10,13 @@
 
 @attrs.define
 class Pointer:
-    """Where a flow lives, and when that was last heard.
+    """Owner of a flow, with the time of the latest report.
 
     Attributes:
         owner: Agent that owns the flow.
-        heard_at: Runtime clock when the owner, or who made it the owner,
-            said so, seconds.
-        pinned: The flow has a stream or an upload there.
+        heard_at: Runtime clock when the owner, or the agent that assigned the
+            flow to it, reported the ownership, seconds.
+        pinned: The flow has a stream or an upload at the owner.
     """
 
     owner: model.Endpoint
@@ -28,8 +28,8 @@
 class Directory:
     """Maps callers to the agents that own their flows.
 
-    News carry their age, so the newest word of an owner wins in whatever order
-    they come, without clocks that agree.
+    Reports carry their age, so the newest one wins in any order of arrival
+    without synchronized clocks.
 
     Examples:
         >>> directory = Directory(lease_s=10.0, capacity=100)
@@ -41,9 +41,10 @@
         True
 
     Attributes:
-        lease_s: Time after which a pointer that nobody renews is void.
-        capacity: Most pointers kept; the oldest goes first.
-        pointers: The pointers, oldest first.
+        lease_s: Time after which a pointer without renewal expires, seconds.
+        capacity: Maximum number of pointers; beyond it the least recently set
+            one is dropped.
+        pointers: The pointers, least recently set first.
     """
 
     lease_s: float
@@ -57,7 +58,7 @@
         now: float,
         pinned: bool = False,
     ) -> None:
-        """Sets or renews the pointer of a caller, unless it is older news."""
+        """Sets or renews a caller's pointer unless a newer one is known."""
         known = self.pointers.get(caller)
         if known is not None and known.heard_at > now:
             return
@@ -67,14 +68,14 @@
             self.pointers.popitem(last=False)
 
     def find(self, caller: model.Endpoint, now: float) -> Pointer | None:
-        """Returns the pointer of a caller, if its lease still runs."""
+        """Returns the pointer of a caller, or None if its lease expired."""
         pointer = self.pointers.get(caller)
         if pointer is None or now - pointer.heard_at > self.lease_s:
             return None
         return pointer
 
     def forget(self, caller: model.Endpoint) -> None:
-        """Drops the pointer of a caller, if there is one."""
+        """Removes the pointer of a caller, if there is one."""
         self.pointers.pop(caller, None)
 
     def owned_by(self, owner: model.Endpoint) -> Iterator[model.Endpoint]:
@@ -84,7 +85,11 @@
                 yield caller
 
     def expire(self, now: float) -> None:
-        """Drops the pointers whose lease is over."""
+        """Removes expired pointers from the start of the directory.
+
+        It stops at the first pointer whose lease is valid; an expired one
+        behind it stays, and ``find`` ignores it.
+        """
         while self.pointers:
             caller, pointer = next(iter(self.pointers.items()))
             if now - pointer.heard_at <= self.lease_s:
--- a/notchhoist/parts/placement.py
+++ b/notchhoist/parts/placement.py
@@ -1,4 +1,4 @@
-"""Placement by the better of two choices among weighted candidates."""
+"""Placement by the power of two choices among weighted candidates."""
 
 import math
 import random
@@ -11,15 +11,15 @@
 
 @attrs.frozen
 class Candidate:
-    """An agent that could take new work.
+    """An agent that may take a new request or flow.
 
     Attributes:
-        agent: Its peer endpoint.
-        load: Work that it has, in requests or flows.
-        capacity: Work that it is meant to have at the most.
-        free: Slots that are free now.
-        service_s: Smoothed time that a run takes there, seconds; infinite
-            where it is not known.
+        agent: Peer endpoint of the agent.
+        load: Current load, in requests or flows.
+        capacity: Load at full utilization, in the same unit.
+        free: Number of free slots.
+        service_s: Smoothed service time of a run, seconds; infinite if
+            unknown.
     """
 
     agent: model.Endpoint
@@ -30,17 +30,18 @@
 
     @property
     def fill(self) -> float:
-        """Load after one more piece of work, per unit of capacity."""
+        """Utilization after one more request or flow."""
         return (self.load + 1.0) / max(self.capacity, 1e-6)
 
 
 def two_choices(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate | None:
-    """Picks the less filled of two candidates drawn at random.
+    """Picks the less utilized of two candidates sampled at random.
 
-    With load figures that lag, the least loaded of all draws the whole herd;
-    the better of two does not.
+    Load reports are delayed. If every agent picked the least loaded candidate
+    of all, it would get all new work until its next report; with the better
+    of two random candidates it does not.
 
     Examples:
         >>> agents = [model.Endpoint("a", n) for n in range(2)]
@@ -50,11 +51,11 @@
         True
 
     Args:
-        candidates: Who may take the work.
-        rng: Source of the draw.
+        candidates: Agents that may take the request or flow.
+        rng: Random source of the sample.
 
     Returns:
-        The pick, or None without candidates.
+        The chosen candidate, or None if there are no candidates.
 
     References:
         Mitzenmacher, "The power of two choices in randomized load balancing",
@@ -62,11 +63,11 @@
     """
     if not candidates:
         return None
-    drawn = rng.sample(list(candidates), min(2, len(candidates)))
-    return min(drawn, key=lambda candidate: candidate.fill)
+    sampled = rng.sample(list(candidates), min(2, len(candidates)))
+    return min(sampled, key=lambda candidate: candidate.fill)
 
 
 def most_free(candidates: Sequence[Candidate]) -> Candidate | None:
-    """Returns the least filled candidate with a free slot, or None."""
-    free = [candidate for candidate in candidates if candidate.free > 0]
-    return min(free, key=lambda item: item.fill, default=None)
+    """Returns the least utilized candidate with a free slot, or None."""
+    available = [candidate for candidate in candidates if candidate.free > 0]
+    return min(available, key=lambda item: item.fill, default=None)
--- a/notchhoist/parts/recovery.py
+++ b/notchhoist/parts/recovery.py
@@ -1,47 +1,48 @@
-"""How a restarted witness learns again what it granted.
+"""Recovery of the records of a restarted witness from the other witnesses.
 
-A grant or fence that counted was given by a majority. If this witness was one
-of them, another witness of the same identity was too, and still remembers it.
-So the memories of all the other witnesses together hold every decision that
-counted. Votes that this witness alone had given are void by then, because a
-claim uses its votes within a lease, and the memories are asked for later.
+A grant or fence only takes effect with the votes of a majority. If this
+witness was part of that majority, another witness of the same identity was
+too, and still has a record of it. The records of all the other witnesses
+together therefore hold every decision that took effect. Votes that only this
+witness gave are void by the time of the recovery: a claim uses its votes
+within a lease, and the records are requested after that lease.
 """
 
 from notchhoist import model
 from notchhoist.parts.witness import Claimant, Record, Witness
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
-def combine(mine: Record, theirs: Record) -> Record:
-    """Joins what two witnesses remember of an identity.
+def merge_records(left: Record, right: Record) -> Record:
+    """Merges the records that two witnesses have of one identity.
 
-    Where they contradict each other, the lost vote of a third may have
-    decided either way; the identity is sealed.
+    If the records contradict each other, the lost vote of a third witness
+    may have decided either way, so the identity is sealed.
 
     Examples:
-        >>> one = Claimant(model.Endpoint("a", 1), claim=1)
-        >>> two = Claimant(model.Endpoint("a", 2), claim=2)
-        >>> granted = Record(at=0.0, holder=one, granted_attempt=b"x")
-        >>> combine(granted, Record(at=1.0)).holder == one
+        >>> first = Claimant(model.Endpoint("a", 1), claim=1)
+        >>> second = Claimant(model.Endpoint("a", 2), claim=2)
+        >>> granted = Record(at=0.0, holder=first, granted_attempt=b"x")
+        >>> merge_records(granted, Record(at=1.0)).holder == first
         True
-        >>> combine(granted, Record(at=1.0, holder=two)).sealed
+        >>> merge_records(granted, Record(at=1.0, holder=second)).sealed
         True
-        >>> combine(granted, Record(at=1.0, fenced={b"x"})).sealed
+        >>> merge_records(granted, Record(at=1.0, fenced={b"x"})).sealed
         True
     """
-    holders = {item.holder for item in (mine, theirs) if item.holder}
-    fenced = mine.fenced | theirs.fenced
-    holding = mine if mine.holder else theirs
-    contradicts = len(holders) > 1 or (
-        holding.holder is not None and holding.granted_attempt in fenced
+    holders = {item.holder for item in (left, right) if item.holder}
+    fenced = left.fenced | right.fenced
+    granted = left if left.holder else right
+    is_contradictory = len(holders) > 1 or (
+        granted.holder is not None and granted.granted_attempt in fenced
     )
     return Record(
-        at=max(mine.at, theirs.at),
-        holder=holding.holder,
-        granted_attempt=holding.granted_attempt,
+        at=max(left.at, right.at),
+        holder=granted.holder,
+        granted_attempt=granted.granted_attempt,
         fenced=fenced,
-        sealed=mine.sealed or theirs.sealed or contradicts,
+        sealed=left.sealed or right.sealed or is_contradictory,
     )
 
 
@@ -51,34 +52,38 @@
     message: model.Records,
     now: float,
 ) -> None:
-    """Adds a peer's memory to that of a young witness.
+    """Merges the records of a peer into a recently started witness.
 
     Args:
-        witness: The young witness.
-        sender: The peer.
-        message: What the peer remembers.
+        witness: The recently started witness.
+        sender: Peer endpoint of the agent that sent the records.
+        message: The records of that agent.
         now: Runtime clock, seconds.
     """
     for entry in message.records:
-        theirs = _record_of(entry, now)
-        mine = witness.records.get(entry.identity)
-        joined = combine(mine, theirs) if mine else theirs
-        witness.records[entry.identity] = joined
+        peer_record = _from_record_entry(entry, now)
+        own_record = witness.records.get(entry.identity)
+        merged = (
+            merge_records(own_record, peer_record)
+            if own_record
+            else peer_record
+        )
+        witness.records[entry.identity] = merged
     ordered = sorted(witness.records.items(), key=lambda item: item[1].at)
     witness.records.clear()
     witness.records.update(ordered)
-    told = None if message.complete else frozenset(message.vouchers)
-    witness.vouchers[sender] = told
+    merged_from = None if message.complete else frozenset(message.vouchers)
+    witness.vouchers[sender] = merged_from
 
 
-def _record_of(entry: model.RecordEntry, now: float) -> Record:
+def _from_record_entry(entry: model.RecordEntry, now: float) -> Record:
     holder = (
         Claimant(entry.holder, entry.claim)
         if entry.holder is not None
         else None
     )
     return Record(
-        at=now - entry.age_ms / MILLISECONDS,
+        at=now - entry.age_ms / MS_PER_S,
         holder=holder,
         granted_attempt=entry.granted_attempt,
         fenced=set(entry.fenced),
@@ -87,11 +92,11 @@
 
 
 def entry_of(identity: bytes, record: Record, now: float) -> model.RecordEntry:
-    """Writes what a witness remembers of an identity for a peer."""
+    """Converts the record of an identity to its form in a message."""
     holder = record.holder
     return model.RecordEntry(
         identity=identity,
-        age_ms=max(0, int((now - record.at) * MILLISECONDS)),
+        age_ms=max(0, int((now - record.at) * MS_PER_S)),
         sealed=record.sealed,
         holder=holder.agent if holder else None,
         claim=holder.claim if holder else 0,
--- a/notchhoist/parts/revisions.py
+++ b/notchhoist/parts/revisions.py
@@ -1,4 +1,4 @@
-"""Configuration by revision: the highest wins, and only differences travel."""
+"""Configuration by revision: the highest wins; peers exchange differences."""
 
 from collections.abc import Sequence
 
@@ -7,20 +7,20 @@
 from notchhoist import model
 from notchhoist.base.rendezvous import rank_nodes
 
-FEW_BALANCERS = 4
-"""Entry hosts that an agent knows at the least, where there are that many."""
+MIN_KNOWN_BALANCERS = 4
+"""Minimum number of entry hosts that an agent knows, if that many exist."""
 
 
 @attrs.frozen
 class Difference:
-    """What changed between two revisions, as absolute records.
+    """Changes between two revisions, as whole records.
 
     Attributes:
         revision: Revision that the receiver reaches.
-        base: Lowest revision that it can be applied to.
-        services: Records that changed.
-        removed: Names of services that were dropped.
-        balancers: The balancer list, or None where it did not change.
+        base: Lowest revision that the difference can be applied to.
+        services: Services that were added or changed.
+        removed: Names of services that were removed.
+        balancers: The balancer list, or None if it did not change.
     """
 
     revision: int
@@ -33,10 +33,10 @@
 def balancers_for(
     zone: str, hosts: Sequence[model.BalancerHost]
 ) -> tuple[model.BalancerHost, ...]:
-    """Returns the entry hosts that an agent of a zone gets to know.
+    """Returns the entry hosts that are published to the agents of a zone.
 
-    Those of its own zone, and others, the same for the whole zone, until there
-    are a few.
+    These are all hosts of the zone, filled up to ``MIN_KNOWN_BALANCERS`` with
+    hosts of other zones, which are the same for all agents of the zone.
 
     Examples:
         >>> hosts = [
@@ -53,19 +53,22 @@
     """
     if not zone:
         return tuple(hosts)
-    near = [host for host in hosts if host.zone == zone]
-    by_peer = {host.peer: host for host in hosts if host.zone != zone}
-    ranked = rank_nodes(zone.encode(), list(by_peer))
-    missing = max(0, FEW_BALANCERS - len(near))
-    return (*near, *(by_peer[peer] for peer in ranked[:missing]))
+    local_hosts = [host for host in hosts if host.zone == zone]
+    remote_by_peer = {host.peer: host for host in hosts if host.zone != zone}
+    ranked = rank_nodes(zone.encode(), list(remote_by_peer))
+    missing_count = max(0, MIN_KNOWN_BALANCERS - len(local_hosts))
+    return (
+        *local_hosts,
+        *(remote_by_peer[peer] for peer in ranked[:missing_count]),
+    )
 
 
 @attrs.define
 class RevisionStore:
     """The configuration in force at one process.
 
-    It never goes back: a document or difference that is not above the
-    revision in force changes nothing.
+    The revision never decreases: a document or difference whose revision is
+    not above the one in force is ignored.
 
     Examples:
         >>> store = RevisionStore()
@@ -79,11 +82,13 @@
 
     Attributes:
         revision: Revision in force; 0 before the first.
-        services: Records by name.
-        changed_at: For each name, the revision of its last change or removal
-            as this process saw it, which is never below the true one.
+        services: Services by name.
+        changed_at: For each service name, the revision at which this process
+            applied its last change or removal; never below the revision that
+            made the change.
         balancers: Entry hosts.
-        balancers_at: Revision of their last change, seen likewise.
+        balancers_at: Revision at which this process applied the last change
+            of the entry hosts; likewise.
     """
 
     revision: int = 0
@@ -93,25 +98,36 @@
     balancers_at: int = 0
 
     def adopt(self, document: model.Configuration) -> bool:
-        """Puts a whole document in force if its revision is higher."""
+        """Applies a whole document if its revision is higher.
+
+        Returns:
+            Whether the document was applied.
+        """
         if document.revision <= self.revision:
             return False
-        named = {service.name: service for service in document.services}
+        published = {service.name: service for service in document.services}
         difference = Difference(
             revision=document.revision,
             base=self.revision,
             services=tuple(
                 service
-                for name, service in named.items()
+                for name, service in published.items()
                 if self.services.get(name) != service
             ),
-            removed=tuple(name for name in self.services if name not in named),
+            removed=tuple(
+                name for name in self.services if name not in published
+            ),
             balancers=document.balancers,
         )
         return self.apply(difference)
 
     def apply(self, difference: Difference) -> bool:
-        """Puts a difference in force if it leads from here to higher."""
+        """Applies a difference if its revision is higher and its base known.
+
+        Returns:
+            Whether the difference was applied: it is not if its revision is
+            not above the one in force, or if its base is.
+        """
         if difference.revision <= self.revision:
             return False
         if difference.base > self.revision:
@@ -137,15 +153,15 @@
     def since(
         self, revision: int, service: str = "", zone: str = ""
     ) -> Difference:
-        """Returns what changed after a revision.
+        """Returns the changes after a revision.
 
         Args:
-            revision: Revision in force at the asker.
+            revision: Revision in force at the process that asks.
             service: Only this service; empty for all.
             zone: Only balancers of this availability zone; empty for all.
 
         Returns:
-            A difference that is valid from that revision on.
+            A difference that can be applied to that revision.
         """
         names = [
             name
--- a/notchhoist/parts/tenure.py
+++ b/notchhoist/parts/tenure.py
@@ -1,15 +1,15 @@
-"""Tenure: how long a node has held a role without a break."""
+"""Uninterrupted time in a role, and detection of pauses of the process."""
 
 import attrs
 
 
 @attrs.define
 class Tenure:
-    """Says when "I have not heard of it" means "it does not exist".
+    """Tells when a key that is unknown to a node can be taken for new.
 
-    A node that has just taken a role, or that was paused, cannot tell a new
-    key from one it never heard of; only after the keys' whole idle timeout
-    can it.
+    A node that has just taken a role, or that was paused, cannot distinguish
+    a new key from one that was in use before and not reported to it. After a
+    whole idle timeout of the keys it can.
 
     Examples:
         >>> tenure = Tenure(needed_s=30.0, since=100.0)
@@ -17,7 +17,7 @@
         (False, True)
 
     Attributes:
-        needed_s: Time after which the role is firm, seconds.
+        needed_s: Time in the role after which an unknown key is new, seconds.
         since: Runtime clock when the role was taken, seconds.
     """
 
@@ -29,16 +29,17 @@
         return now - self.since > self.needed_s
 
     def restart(self, now: float) -> None:
-        """Begins anew, as after a pause or a change of the node set."""
+        """Restarts the time, after a pause or a change of the set of nodes."""
         self.since = now
 
 
 @attrs.define
 class PauseDetector:
-    """Finds gaps in the node's own clock.
+    """Detects pauses of the process by gaps between its ticks.
 
-    A process that was stopped and woken still believes old facts. Ticks come
-    every fraction of a second, so a longer gap between two of them shows it.
+    After a pause the state of the process may be out of date. Ticks come
+    several times per second, so a longer gap between two of them reveals a
+    pause.
 
     Examples:
         >>> detector = PauseDetector(threshold_s=1.0)
@@ -47,14 +48,14 @@
 
     Attributes:
         threshold_s: Shortest gap that counts as a pause, seconds.
-        last: Runtime clock at the last observation, or None.
+        last: Runtime clock at the last observation, seconds; None before it.
     """
 
     threshold_s: float
     last: float | None = None
 
     def observe(self, now: float) -> float:
-        """Notes the time and returns the gap, 0.0 where there is none."""
+        """Records a tick; returns the length of the pause, 0.0 if none."""
         gap = 0.0 if self.last is None else now - self.last
         self.last = now
         return gap if gap > self.threshold_s else 0.0
--- a/notchhoist/parts/tests/test_admission.py
+++ b/notchhoist/parts/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission: slots, turns by weight, deadlines."""
+"""Tests of admission control: slots, weights, deadlines, slot limit."""
 
 import attrs
 import pytest
@@ -13,74 +13,74 @@
     deadline: float
 
 
-def admission(slots=2, queue_limit=8):
+def make_admission(slots=2, queue_limit=8):
     ramp = parts.Ramp(slots=slots, level=float(slots))
     return parts.Admission(ramp=ramp, queue_limit=queue_limit)
 
 
 def test_slots_are_never_exceeded():
-    gate = admission(slots=2)
-    entered = [gate.try_enter(Job("a", 1, 9.0)) for _ in range(5)]
+    admission = make_admission(slots=2)
+    entered = [admission.try_enter(Job("a", 1, 9.0)) for _ in range(5)]
     assert entered == [True, True, False, False, False]
-    assert gate.in_flight == 2
+    assert admission.in_flight == 2
 
 
-def test_new_work_does_not_overtake_the_queue():
-    gate = admission(slots=1)
-    gate.try_enter(Job("a", 1, 9.0))
-    gate.enqueue(Job("a", 1, 9.0))
-    gate.leave("a", 0.1)
-    assert not gate.try_enter(Job("a", 1, 9.0))
+def test_new_requests_do_not_overtake_queued_ones():
+    admission = make_admission(slots=1)
+    admission.try_enter(Job("a", 1, 9.0))
+    admission.enqueue(Job("a", 1, 9.0))
+    admission.leave("a", 0.1)
+    assert not admission.try_enter(Job("a", 1, 9.0))
 
 
-def test_heavy_kinds_go_first_and_starve_nobody():
-    gate = admission(slots=1, queue_limit=200)
+def test_slots_are_shared_in_proportion_to_weights():
+    admission = make_admission(slots=1, queue_limit=200)
     for _ in range(50):
-        gate.enqueue(Job("high", 40, 100.0))
-        gate.enqueue(Job("low", 10, 100.0))
+        admission.enqueue(Job("high", 40, 100.0))
+        admission.enqueue(Job("low", 10, 100.0))
     served = []
     for _ in range(50):
-        job, _ = gate.next_job(0.0)
+        job, _ = admission.next_job(0.0)
         served.append(job.kind)
-        gate.leave(job.kind, None)
+        admission.leave(job.kind, None)
     assert served.count("high") == pytest.approx(40, abs=2)
 
 
 def test_earliest_deadline_first_within_a_kind():
-    gate = admission(slots=1)
+    admission = make_admission(slots=1)
     late, early = Job("a", 1, 50.0), Job("a", 1, 10.0)
-    gate.enqueue(late)
-    gate.enqueue(early)
-    assert gate.next_job(0.0)[0] is early
+    admission.enqueue(late)
+    admission.enqueue(early)
+    assert admission.next_job(0.0)[0] is early
 
 
-def test_late_work_is_refused_before_it_takes_a_slot():
-    gate = admission(slots=1)
+def test_unservable_requests_are_refused_before_they_take_a_slot():
+    admission = make_admission(slots=1)
     job = Job("a", 1, 1.0)
-    gate.enqueue(job)
-    taken, late = gate.next_job(2.0)
+    admission.enqueue(job)
+    taken, refused = admission.next_job(2.0)
     assert taken is None
-    assert late == [job]
-    assert gate.in_flight == 0
+    assert refused == [job]
+    assert admission.in_flight == 0
 
 
-def test_a_full_queue_refuses_the_latest_of_the_lightest_kind():
-    gate = admission(slots=1, queue_limit=2)
+def test_full_queue_evicts_the_latest_of_the_kind_with_the_lowest_share():
+    admission = make_admission(slots=1, queue_limit=2)
     low = Job("low", 10, 20.0)
-    assert gate.enqueue(Job("low", 10, 10.0)) is None
-    assert gate.enqueue(low) is None
-    assert gate.enqueue(Job("high", 40, 10.0)) is low
+    assert admission.enqueue(Job("low", 10, 10.0)) is None
+    assert admission.enqueue(low) is None
+    assert admission.enqueue(Job("high", 40, 10.0)) is low
 
 
-def test_a_deadline_that_cannot_be_met_is_known():
-    gate = admission(slots=1)
-    gate.try_enter(Job("a", 1, 9.0))
-    gate.leave("a", 10.0)
-    assert not gate.can_meet(Job("a", 1, 1.0), 0.0)
-    assert gate.can_meet(Job("a", 1, 9.0), 0.0)
+def test_a_deadline_that_cannot_be_met_is_detected():
+    admission = make_admission(slots=1)
+    admission.try_enter(Job("a", 1, 9.0))
+    admission.leave("a", 10.0)
+    assert not admission.can_meet(Job("a", 1, 1.0), 0.0)
+    assert admission.can_meet(Job("a", 1, 9.0), 0.0)
 
 
-def test_ramp_grows_by_answers_and_shrinks_by_trouble():
+def test_slot_limit_rises_with_answers_and_falls_with_failures():
     ramp = parts.Ramp(slots=4)
     limits = []
     for _ in range(9):
--- a/notchhoist/parts/tests/test_directory.py
+++ b/notchhoist/parts/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Directory: leases, bounds, owners."""
+"""Tests of the directory: leases, capacity, owners."""
 
 from notchhoist import model, parts
 
@@ -6,7 +6,7 @@
 OWNER, OTHER = (model.Endpoint("10.0.0.1", port) for port in range(2))
 
 
-def test_a_pointer_lapses_without_renewal():
+def test_a_pointer_expires_without_renewal():
     directory = parts.Directory(lease_s=10.0, capacity=9)
     directory.point(CALLERS[0], OWNER, now=0.0, pinned=True)
     directory.point(CALLERS[0], OWNER, now=8.0, pinned=True)
@@ -16,7 +16,7 @@
     assert not directory.pointers
 
 
-def test_the_oldest_pointer_makes_room():
+def test_the_oldest_pointer_is_dropped_beyond_the_capacity():
     directory = parts.Directory(lease_s=10.0, capacity=2)
     for caller in CALLERS[:3]:
         directory.point(caller, OWNER, now=0.0)
@@ -24,7 +24,7 @@
     assert directory.find(CALLERS[2], now=0.0).owner == OWNER
 
 
-def test_the_callers_of_an_owner():
+def test_owned_by_yields_the_callers_of_an_owner():
     directory = parts.Directory(lease_s=10.0, capacity=9)
     directory.point(CALLERS[0], OWNER, now=0.0)
     directory.point(CALLERS[1], OTHER, now=0.0)
--- a/notchhoist/parts/tests/test_rendezvous.py
+++ b/notchhoist/parts/tests/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous order: even, and disturbed as little as can be."""
+"""Tests of rendezvous hashing: even distribution, minimal disruption."""
 
 import collections
 
@@ -21,7 +21,9 @@
     assert parts.rank_nodes(key, others) == left
 
 
-def test_first_places_are_even():
+def test_first_ranks_are_distributed_evenly():
     keys = [b"%d" % number for number in range(8000)]
-    firsts = collections.Counter(parts.rank_nodes(k, NODES)[0] for k in keys)
-    assert max(firsts.values()) < 1.15 * len(keys) / len(NODES)
+    first_counts = collections.Counter(
+        parts.rank_nodes(k, NODES)[0] for k in keys
+    )
+    assert max(first_counts.values()) < 1.15 * len(keys) / len(NODES)
--- a/notchhoist/parts/tests/test_revisions.py
+++ b/notchhoist/parts/tests/test_revisions.py
@@ -1,4 +1,7 @@
-"""Configuration by revision: differences lead where whole documents lead."""
+"""Tests of configuration by revision.
+
+Differences must result in the same configuration as whole documents.
+"""
 
 import hypothesis
 from hypothesis import strategies
@@ -87,7 +90,7 @@
     assert store.revision == 0
 
 
-def test_only_the_asked_service_and_zone_are_told():
+def test_a_difference_is_limited_to_the_requested_service_and_zone():
     store = parts.RevisionStore()
     store.adopt(document(1, {"a": 1, "b": 2}))
     difference = store.since(0, service="a", zone="elsewhere")
--- a/notchhoist/parts/tests/test_witness.py
+++ b/notchhoist/parts/tests/test_witness.py
@@ -1,11 +1,11 @@
-"""Tests of the witness and of claims."""
+"""Tests of the votes of a witness and of the counting in a claim."""
 
 import pytest
 
 from notchhoist import model, parts
 
-ONE = parts.Claimant(model.Endpoint("10.0.0.1", 1), claim=1)
-TWO = parts.Claimant(model.Endpoint("10.0.0.2", 1), claim=2)
+FIRST = parts.Claimant(model.Endpoint("10.0.0.1", 1), claim=1)
+SECOND = parts.Claimant(model.Endpoint("10.0.0.2", 1), claim=2)
 OWN = model.Endpoint("10.0.0.3", 1)
 VERDICT = model.Verdict
 
@@ -16,52 +16,52 @@
 
 
 def test_an_identity_is_granted_once(witness):
-    assert witness.grant(b"i", b"a", ONE, 0.0).verdict is VERDICT.GRANTED
-    assert witness.grant(b"i", b"a", ONE, 1.0).verdict is VERDICT.GRANTED
-    denied = witness.grant(b"i", b"a", TWO, 1.0)
+    assert witness.grant(b"i", b"a", FIRST, 0.0).verdict is VERDICT.GRANTED
+    assert witness.grant(b"i", b"a", FIRST, 1.0).verdict is VERDICT.GRANTED
+    denied = witness.grant(b"i", b"a", SECOND, 1.0)
     assert denied.verdict is VERDICT.DENIED
-    assert denied.holder == ONE
+    assert denied.holder == FIRST
 
 
 def test_a_restarted_claimant_is_another_claimant(witness):
-    witness.grant(b"i", b"a", ONE, 0.0)
-    again = parts.Claimant(ONE.agent, claim=9)
-    assert witness.grant(b"i", b"a", again, 1.0).verdict is VERDICT.DENIED
+    witness.grant(b"i", b"a", FIRST, 0.0)
+    restarted = parts.Claimant(FIRST.agent, claim=9)
+    assert witness.grant(b"i", b"a", restarted, 1.0).verdict is VERDICT.DENIED
 
 
 def test_a_fenced_attempt_is_never_granted(witness):
-    assert witness.fence(b"i", b"a", ONE, 0.0).verdict is VERDICT.GRANTED
-    assert witness.grant(b"i", b"a", ONE, 1.0).verdict is VERDICT.DENIED
-    assert witness.grant(b"i", b"a", TWO, 1.0).verdict is VERDICT.DENIED
+    assert witness.fence(b"i", b"a", FIRST, 0.0).verdict is VERDICT.GRANTED
+    assert witness.grant(b"i", b"a", FIRST, 1.0).verdict is VERDICT.DENIED
+    assert witness.grant(b"i", b"a", SECOND, 1.0).verdict is VERDICT.DENIED
 
 
 def test_another_attempt_may_follow_a_fence(witness):
-    witness.fence(b"i", b"a", ONE, 0.0)
-    assert witness.grant(b"i", b"b", TWO, 1.0).verdict is VERDICT.GRANTED
+    witness.fence(b"i", b"a", FIRST, 0.0)
+    assert witness.grant(b"i", b"b", SECOND, 1.0).verdict is VERDICT.GRANTED
 
 
-def test_a_fence_respects_the_grant_of_another(witness):
-    witness.grant(b"i", b"a", ONE, 0.0)
-    assert witness.fence(b"i", b"a", TWO, 1.0).verdict is VERDICT.DENIED
+def test_a_fence_is_denied_if_another_claimant_holds_the_grant(witness):
+    witness.grant(b"i", b"a", FIRST, 0.0)
+    assert witness.fence(b"i", b"a", SECOND, 1.0).verdict is VERDICT.DENIED
 
 
-def test_a_holder_turns_its_grant_into_a_fence(witness):
-    witness.grant(b"i", b"a", ONE, 0.0)
-    assert witness.fence(b"i", b"a", ONE, 1.0).verdict is VERDICT.GRANTED
-    assert witness.grant(b"i", b"a", ONE, 2.0).verdict is VERDICT.DENIED
+def test_a_holder_converts_its_grant_to_a_fence(witness):
+    witness.grant(b"i", b"a", FIRST, 0.0)
+    assert witness.fence(b"i", b"a", FIRST, 1.0).verdict is VERDICT.GRANTED
+    assert witness.grant(b"i", b"a", FIRST, 2.0).verdict is VERDICT.DENIED
 
 
-def test_a_young_witness_abstains():
+def test_a_recently_started_witness_abstains():
     witness = parts.Witness(OWN, lifetime_s=10.0, started_at=0.0)
-    assert witness.grant(b"i", b"a", ONE, 5.0).verdict is VERDICT.ABSTAINED
-    assert witness.fence(b"i", b"a", ONE, 5.0).verdict is VERDICT.ABSTAINED
-    assert witness.grant(b"i", b"a", ONE, 10.5).verdict is VERDICT.GRANTED
+    assert witness.grant(b"i", b"a", FIRST, 5.0).verdict is VERDICT.ABSTAINED
+    assert witness.fence(b"i", b"a", FIRST, 5.0).verdict is VERDICT.ABSTAINED
+    assert witness.grant(b"i", b"a", FIRST, 10.5).verdict is VERDICT.GRANTED
 
 
-def test_a_record_lasts_a_lifetime(witness):
-    witness.grant(b"i", b"a", ONE, 0.0)
+def test_a_record_expires_after_a_lifetime(witness):
+    witness.grant(b"i", b"a", FIRST, 0.0)
     witness.expire(9.0)
-    assert witness.grant(b"i", b"a", TWO, 9.0).verdict is VERDICT.DENIED
+    assert witness.grant(b"i", b"a", SECOND, 9.0).verdict is VERDICT.DENIED
     witness.expire(11.0)
     assert not witness.records
 
--- a/notchhoist/parts/witness.py
+++ b/notchhoist/parts/witness.py
@@ -1,10 +1,10 @@
-"""Witnesses: who may run a request that must not be repeated.
+"""Witnesses: majority votes on the execution of non-repeatable requests.
 
-Each request has a few witnesses. A run needs grants from a majority of them,
-and a truthful "not run" needs fences from a majority. Two majorities of one
-set share a witness, and a witness grants an identity once and never grants an
-attempt that it has fenced; so an identity is run by one agent at the most, and
-an attempt that was called "not run" is never run.
+Each request has a few witnesses. To run it, an agent needs grants from a
+majority of them; to answer "not run", it needs fences from a majority. Two
+majorities of one set share a witness. A witness grants an identity only once
+and never grants an attempt that it has fenced. Therefore at most one agent
+runs an identity, and an attempt that was answered with "not run" never runs.
 """
 
 from collections import OrderedDict
@@ -15,19 +15,19 @@
 from notchhoist import model
 from notchhoist.base.rendezvous import rank_nodes
 
-WITNESSES = 3
-"""How many witnesses a request has, where there are that many agents."""
+WITNESS_COUNT = 3
+"""Number of witnesses of a request, if there are that many agents."""
 
 
 def witnesses_of(
     identity: bytes, agents: Sequence[model.Endpoint]
 ) -> tuple[model.Endpoint, ...]:
-    """Returns the witnesses of an identity among a set of agents."""
-    return tuple(rank_nodes(identity, agents)[:WITNESSES])
+    """Returns the witnesses of an identity, chosen by rendezvous hashing."""
+    return tuple(rank_nodes(identity, agents)[:WITNESS_COUNT])
 
 
 def majority_of(count: int) -> int:
-    """Returns the size of a majority.
+    """Returns the size of a majority of a number of voters.
 
     Examples:
         >>> [majority_of(count) for count in (1, 2, 3)]
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class Claimant:
-    """Who asks: an agent and the number of its claim.
+    """An agent that claims a grant or a fence, with the number of its claim.
 
-    A restarted agent draws other numbers, so it is not taken for the holder
-    of a grant that its earlier incarnation may have used.
+    A restarted agent draws other numbers, so it is not mistaken for the
+    holder of a grant that its earlier incarnation may have used.
 
     Attributes:
         agent: Peer endpoint of the agent.
-        claim: Number of the claim, drawn at random for each.
+        claim: Random number of the claim.
     """
 
     agent: model.Endpoint
@@ -54,17 +54,17 @@
 
 @attrs.define
 class Record:
-    """What a witness remembers of an identity.
+    """Record of a witness about an identity.
 
     Attributes:
-        at: Runtime clock of the first word of it, seconds.
+        at: Runtime clock when the record was created, seconds.
         holder: Claimant that holds the grant, or None.
         granted_attempt: Attempt that the grant was given for.
-        fenced: Attempts that will never be granted.
-        sealed: It may have been granted to somebody, nobody knows whom; it
-            is neither granted nor fenced again.
-        released: Claims that gave their grant back; a late copy of their
-            request is not granted.
+        fenced: Attempts that are never granted.
+        sealed: The identity may have been granted to an unknown claimant; it
+            is neither granted nor fenced any more.
+        released: Claims that released their grant; a delayed duplicate of
+            their request is not granted.
     """
 
     at: float
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class Decision:
-    """A verdict, and the holder where a grant stands in the way."""
+    """A verdict, and the holder of the grant if there is one."""
 
     verdict: model.Verdict
     holder: Claimant | None = None
@@ -85,32 +85,33 @@
 
 @attrs.define
 class Witness:
-    """The memory of one witness, kept for a lifetime and in memory only.
+    """The records and votes of one witness.
 
-    A witness that has just started abstains: an earlier incarnation may have
-    granted what this one does not remember. After a lifetime, or once all the
-    other witnesses of an identity have told what they remember, it speaks.
+    Records are kept in memory only, for a limited lifetime. A recently
+    started witness abstains on identities without a record, because an
+    earlier incarnation may have granted them. It votes after a lifetime, or
+    once all the other witnesses of an identity have sent complete records.
 
     Examples:
         >>> own = model.Endpoint("a", 3)
         >>> witness = Witness(own, lifetime_s=60.0, started_at=-100.0)
-        >>> one = Claimant(model.Endpoint("a", 1), claim=17)
-        >>> two = Claimant(model.Endpoint("a", 2), claim=4)
-        >>> witness.grant(b"id", b"try 1", one, now=0.0).verdict.name
+        >>> first = Claimant(model.Endpoint("a", 1), claim=17)
+        >>> second = Claimant(model.Endpoint("a", 2), claim=4)
+        >>> witness.grant(b"id", b"try 1", first, now=0.0).verdict.name
         'GRANTED'
-        >>> witness.grant(b"id", b"try 1", two, now=1.0).verdict.name
+        >>> witness.grant(b"id", b"try 1", second, now=1.0).verdict.name
         'DENIED'
-        >>> witness.fence(b"id", b"try 1", two, now=1.0).verdict.name
+        >>> witness.fence(b"id", b"try 1", second, now=1.0).verdict.name
         'DENIED'
 
     Attributes:
         own: Peer endpoint of the witness's agent.
-        lifetime_s: How long an identity is remembered, seconds.
-        started_at: Runtime clock when the memory began, seconds.
-        records: What is remembered, oldest first.
-        vouchers: Agents that have told what they remember; for each the
-            agents whose memory it has itself only been told, or None where
-            its own memory is old enough.
+        lifetime_s: Time for which a record is kept, seconds.
+        started_at: Runtime clock when the witness started, seconds.
+        records: Records by identity, oldest first.
+        vouchers: Agents that have sent their records. The value is None if
+            the records of the agent were complete, else the agents whose
+            complete records it had merged.
     """
 
     own: model.Endpoint
@@ -122,7 +123,7 @@
     )
 
     def is_young(self, now: float) -> bool:
-        """Tells whether the memory does not span a lifetime."""
+        """Tells whether the records do not span a whole lifetime yet."""
         return now - self.started_at <= self.lifetime_s
 
     def abstains(
@@ -130,7 +131,7 @@
         now: float,
         others: frozenset[model.Endpoint],
     ) -> bool:
-        """Tells whether the memory is too young to speak from.
+        """Tells whether the witness abstains on an identity without a record.
 
         Args:
             now: Runtime clock, seconds.
@@ -140,94 +141,102 @@
             return False
         if not others:
             return True
-        return not all(self._vouches(one, others) for one in others)
+        return not all(
+            self._vouches_for_others(peer, others) for peer in others
+        )
 
     def firm_vouchers(self) -> list[model.Endpoint]:
-        """Returns the agents that told a memory that was old enough.
+        """Returns the agents that sent complete records.
 
-        What another young witness told does not count: two that were started
-        anew would vouch for each other's emptiness.
+        Records of another recently started witness do not count: otherwise
+        two restarted witnesses would confirm each other's empty records.
         """
         return sorted(
-            one for one, told in self.vouchers.items() if told is None
+            peer
+            for peer, merged_from in self.vouchers.items()
+            if merged_from is None
         )
 
-    def _vouches(
+    def _vouches_for_others(
         self,
-        one: model.Endpoint,
+        peer: model.Endpoint,
         others: frozenset[model.Endpoint],
     ) -> bool:
-        if one not in self.vouchers:
+        if peer not in self.vouchers:
             return False
-        told = self.vouchers[one]
-        needed = (others | {self.own}) - {one}
-        return told is None or needed <= told
+        merged_from = self.vouchers[peer]
+        needed = (others | {self.own}) - {peer}
+        return merged_from is None or needed <= merged_from
 
     def grant(
         self,
         identity: bytes,
         attempt: bytes,
-        asker: Claimant,
+        claimant: Claimant,
         now: float,
         others: frozenset[model.Endpoint] = frozenset(),
     ) -> Decision:
-        """Decides on a request to run.
+        """Votes on a claim to run a request.
 
         Args:
             identity: Digest that names the request.
             attempt: Digest that names one sending of it.
-            asker: Claimant that wants to run it.
+            claimant: Claimant of the grant.
             now: Runtime clock, seconds.
-            others: The other witnesses of the identity; only a young
-                witness needs them.
+            others: The other witnesses of the identity; only used by a
+                recently started witness.
 
         Returns:
-            The decision; asking again gives the same.
+            The decision; a repeated request gets the same one.
         """
-        record = self._record(identity, now, others)
+        record = self._find_or_create_record(identity, now, others)
         if record is None:
             return Decision(model.Verdict.ABSTAINED)
-        refuses = record.sealed or asker.claim in record.released
-        if refuses or attempt in record.fenced:
+        is_sealed_or_released = (
+            record.sealed or claimant.claim in record.released
+        )
+        if is_sealed_or_released or attempt in record.fenced:
             return Decision(model.Verdict.DENIED, record.holder)
         if record.holder is None:
-            record.holder = asker
+            record.holder = claimant
             record.granted_attempt = attempt
-        same = record.holder == asker and record.granted_attempt == attempt
-        verdict = model.Verdict.GRANTED if same else model.Verdict.DENIED
+        is_holder = (
+            record.holder == claimant and record.granted_attempt == attempt
+        )
+        verdict = model.Verdict.GRANTED if is_holder else model.Verdict.DENIED
         return Decision(verdict, record.holder)
 
     def fence(
         self,
         identity: bytes,
         attempt: bytes,
-        asker: Claimant,
+        claimant: Claimant,
         now: float,
         others: frozenset[model.Endpoint] = frozenset(),
     ) -> Decision:
-        """Decides on a request that an attempt never run.
+        """Votes on a claim that an attempt must never run.
 
-        The holder of a grant that has not started the run may turn its own
-        grant into a fence.
+        A holder that has not started the run may convert its own grant to a
+        fence.
 
         Args:
             identity: Digest that names the request.
             attempt: Digest that names one sending of it.
-            asker: Claimant that wants the fence.
+            claimant: Claimant of the fence.
             now: Runtime clock, seconds.
-            others: The other witnesses of the identity; only a young
-                witness needs them.
+            others: The other witnesses of the identity; only used by a
+                recently started witness.
 
         Returns:
             The decision.
         """
-        record = self._record(identity, now, others)
+        record = self._find_or_create_record(identity, now, others)
         if record is None:
             return Decision(model.Verdict.ABSTAINED)
         if record.sealed:
             return Decision(model.Verdict.DENIED, record.holder)
         if record.holder is not None and record.granted_attempt == attempt:
-            if record.holder != asker:
+            if record.holder != claimant:
                 return Decision(model.Verdict.DENIED, record.holder)
             record.holder = None
             record.granted_attempt = b""
@@ -235,7 +244,7 @@
         return Decision(model.Verdict.GRANTED)
 
     def release(self, identity: bytes, claim: int) -> None:
-        """Takes back a grant that its holder promises not to use."""
+        """Releases a grant that its holder will not use."""
         record = self.records.get(identity)
         if record is None:
             return
@@ -245,14 +254,14 @@
             record.granted_attempt = b""
 
     def expire(self, now: float) -> None:
-        """Forgets what is older than a lifetime."""
+        """Removes the records that are older than a lifetime."""
         while self.records:
             identity, record = next(iter(self.records.items()))
             if now - record.at <= self.lifetime_s:
                 return
             del self.records[identity]
 
-    def _record(
+    def _find_or_create_record(
         self,
         identity: bytes,
         now: float,
