--- a/notchhoist/model/__init__.py
+++ b/notchhoist/model/__init__.py
@@ -1,4 +1,4 @@
-"""Values, messages and typed errors that every other subpackage uses."""
+"""Values, messages, events, effects and errors of the CoAP path."""
 
 from notchhoist.base.errors import (
     CodecError,
--- a/notchhoist/model/configuration.py
+++ b/notchhoist/model/configuration.py
@@ -8,7 +8,7 @@
 
 
 class ServerState(enum.StrEnum):
-    """What the operator wants of a backend server."""
+    """Desired state of a backend server, set by the operator."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -16,15 +16,15 @@
 
 @attrs.frozen(slots=True)
 class Kind:
-    """A kind of request and how much it weighs.
+    """A kind of request with its weight and deadline.
 
     Attributes:
-        name: Name for people, such as ``booking``.
+        name: Descriptive name, such as ``booking``.
         method: CoAP method: GET, POST, PUT, DELETE, FETCH, PATCH or IPATCH.
-        path: First segment of the request's path.
-        weight: Share of slots relative to other kinds, 1 to 100.
+        path: First segment of the path of the request.
+        weight: Share of slots, relative to other kinds; 1 to 100.
         repeatable: The request may run more than once.
-        deadline_s: Longest time to an answer, seconds.
+        deadline_s: Maximum time until the answer, seconds.
     """
 
     name: str
@@ -37,16 +37,16 @@
 
 @attrs.frozen(slots=True)
 class BackendServer:
-    """A backend server and the agent beside it.
+    """A backend server and its agent.
 
     Attributes:
         name: Name, unique within the configuration.
         zone: Availability zone.
         agent: Peer endpoint of its agent.
-        address: Endpoint that the server answers requests on.
-        slots: Requests that it works on at the same time.
-        weight: Share of flows relative to the other servers.
-        state: What the operator wants of it.
+        address: Endpoint at which the server receives requests.
+        slots: Number of requests that the server processes concurrently.
+        weight: Share of flows, relative to the other servers.
+        state: Desired state, set by the operator.
     """
 
     name: str
@@ -60,11 +60,11 @@
 
 @attrs.frozen(slots=True)
 class WitnessSet:
-    """A set of agents that was in force before a change.
+    """An earlier set of the agents of a service.
 
     Attributes:
         epoch: Revision at which the set came into force.
-        agents: Peer endpoints of its agents.
+        agents: Peer endpoints of the agents in the set.
     """
 
     epoch: int
@@ -73,16 +73,16 @@
 
 @attrs.frozen(slots=True)
 class Service:
-    """A service that callers reach.
+    """A service that callers send requests to.
 
     Attributes:
         name: Name, unique within the configuration.
         address: Service address that callers send to.
-        kinds: Kinds of request; the first match counts.
-        servers: Backend servers attached to it.
-        memory_s: How long the identity of a request that must not be
-            repeated is remembered, seconds; longer than any copy of a
-            request can be under way.
+        kinds: Kinds of request; the first one that matches applies.
+        servers: Backend servers of the service.
+        memory_s: Time for which the identity of a non-repeatable request is
+            kept, seconds; longer than any copy of a request can be in
+            transit.
         epoch: Revision at which the set of servers last changed.
         former: Earlier sets of agents, newest first.
     """
@@ -100,7 +100,7 @@
         return tuple(server.agent for server in self.servers)
 
     def server_of(self, agent: Endpoint) -> BackendServer | None:
-        """Returns the server beside an agent, or None."""
+        """Returns the backend server of an agent, or None."""
         for server in self.servers:
             if server.agent == agent:
                 return server
@@ -109,7 +109,7 @@
 
 @attrs.frozen(slots=True)
 class BalancerHost:
-    """An entry host.
+    """An entry host, which runs a balancer.
 
     Attributes:
         name: Name of the host, unique within the configuration.
@@ -124,10 +124,10 @@
 
 @attrs.frozen(slots=True)
 class Configuration:
-    """A whole published document.
+    """The whole content of a published configuration document.
 
     Attributes:
-        revision: Grows by one with each published change.
+        revision: Number that increases by one with each published change.
         services: All services.
         balancers: All entry hosts.
     """
--- a/notchhoist/model/effects.py
+++ b/notchhoist/model/effects.py
@@ -1,7 +1,7 @@
-"""Events that a node takes in and effects that it gives out.
+"""Events that a node handles, and effects that it requests.
 
-These few types are the whole boundary of the decisions: a harness that can
-hand over events and carry out effects can drive any node without sockets.
+These types are the whole interface of the decision code: a test harness that
+passes events to a node and performs its effects can run it without sockets.
 """
 
 import attrs
@@ -21,7 +21,7 @@
 
 @attrs.frozen(slots=True)
 class PeerMessage:
-    """A process of the system sent a message."""
+    """Another process of the system sent a message."""
 
     sender: Endpoint
     message: Message
@@ -37,12 +37,12 @@
 
 @attrs.frozen(slots=True)
 class ConfigurationRead:
-    """The platform answered a read of the configuration.
+    """A read of the configuration at the platform ended.
 
     Attributes:
-        document: The published text; empty where it has not changed or the
-            read failed.
-        failed: The platform gave no usable answer.
+        document: The published text; empty if it has not changed or the read
+            failed.
+        failed: The platform did not send a usable answer.
     """
 
     document: bytes
@@ -51,12 +51,12 @@
 
 @attrs.frozen(slots=True)
 class HostsRead:
-    """The platform answered a read of the host list.
+    """A read of the host list at the platform ended.
 
     Attributes:
         live: Names of live hosts.
         leaving: Names of hosts that are about to stop.
-        failed: The platform gave no usable answer.
+        failed: The platform did not send a usable answer.
     """
 
     live: frozenset[str]
@@ -75,7 +75,7 @@
 
 @attrs.frozen(slots=True)
 class SendPeer:
-    """Send a message to a process of the system."""
+    """Send a message to another process of the system."""
 
     to: Endpoint
     message: Message
@@ -95,9 +95,9 @@
     """Send a datagram to the backend server on the flow of a caller.
 
     Attributes:
-        caller: Which flow's socket sends it.
+        caller: Caller of the flow whose socket sends the datagram.
         datagram: The bytes.
-        not_after: Runtime clock, seconds: later than this, drop it.
+        not_after: Runtime clock after which the datagram is dropped, seconds.
     """
 
     caller: Endpoint
@@ -114,11 +114,12 @@
 
 @attrs.frozen(slots=True)
 class ReadConfiguration:
-    """Read the platform's configuration.
+    """Read the configuration at the platform.
 
     Attributes:
-        after: Answer only with a revision above this one.
-        wait_s: How long the platform may hold the read; 0 for at once.
+        after: The platform answers only with a revision above this one.
+        wait_s: Time for which the platform may delay its answer until there
+            is such a revision, seconds; 0 for an immediate answer.
     """
 
     after: int
@@ -127,7 +128,7 @@
 
 @attrs.frozen(slots=True)
 class ReadHosts:
-    """Read the platform's host list."""
+    """Read the host list at the platform."""
 
 
 Effect = (
--- a/notchhoist/model/messages.py
+++ b/notchhoist/model/messages.py
@@ -1,7 +1,7 @@
 """Messages between the processes of the system.
 
-Every class has a struct of the same name in ``wire/peer.thrift``; the codec
-pairs classes by name and their fields by position.
+Every message class has a struct of the same name in ``wire/peer.thrift``. The
+codec pairs classes with structs by name, and their fields by position.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class RunStatus(enum.IntEnum):
-    """How a delegated run ended."""
+    """Outcome of a delegated run."""
 
     ANSWERED = 1
     NO_SLOT = 2
@@ -29,16 +29,17 @@
 
 @attrs.frozen(slots=True)
 class Forward:
-    """A caller's datagram on its way to the agent that owns the flow.
+    """Forwards a caller's datagram towards the agent that owns the flow.
 
     Attributes:
-        service: Service whose address the datagram came to.
+        service: Service whose address received the datagram.
         caller: Endpoint of the caller.
         datagram: The caller's bytes, unchanged.
         revision: Configuration revision in force at the sender.
-        hops: How many agents it has passed.
-        placed: The home has placed the flow at the receiver.
-        balancer: Balancer that answers are to leave by.
+        hops: Number of agents that have forwarded the datagram.
+        placed: The sender knows the receiver as the owner of the flow, or has
+            just placed the flow there.
+        balancer: Balancer that sends the answers to the caller.
     """
 
     service: str
@@ -52,12 +53,13 @@
 
 @attrs.frozen(slots=True)
 class Deliver:
-    """A datagram for a caller, and where the flow lives.
+    """Sends a datagram to a caller through a balancer, with the flow's owner.
 
     Attributes:
-        service: Service whose address the datagram is to leave from.
+        service: Service from whose address the datagram is sent.
         caller: Endpoint of the caller.
-        datagram: Bytes for the caller; empty where only the hint is meant.
+        datagram: Bytes for the caller; empty if the message only tells the
+            balancer the owner.
         owner: Agent that owns the flow.
     """
 
@@ -69,7 +71,7 @@
 
 @attrs.frozen(slots=True)
 class AskOwner:
-    """Asks a peer whether it knows who owns a flow."""
+    """Asks a peer for the owner of a flow."""
 
     service: str
     caller: Endpoint
@@ -78,12 +80,12 @@
 
 @attrs.frozen(slots=True)
 class TellOwner:
-    """Answers ``AskOwner``; no owner where the peer knows none.
+    """Answers ``AskOwner``.
 
     Attributes:
         service: Service of both agents.
         caller: Endpoint of the caller.
-        owner: Agent that owns the flow, or None.
+        owner: Agent that owns the flow; None if the sender knows no owner.
         age_ms: As for ``FlowRecord``.
     """
 
@@ -95,14 +97,14 @@
 
 @attrs.frozen(slots=True)
 class FlowRecord:
-    """A pointer: which agent owns the flow of a caller.
+    """A pointer from a caller to the agent that owns its flow.
 
     Attributes:
         caller: Endpoint of the caller.
         owner: Agent that owns the flow.
         pinned: The flow has a stream or an upload at that agent.
-        age_ms: Time since the owner itself, or who made it the owner, said
-            so, milliseconds.
+        age_ms: Time since the owner, or the agent that assigned the flow to
+            it, reported the ownership, milliseconds.
     """
 
     caller: Endpoint
@@ -113,7 +115,7 @@
 
 @attrs.frozen(slots=True)
 class Announce:
-    """Pointers for the receiver's directory."""
+    """Sends pointers for the directory of the receiver."""
 
     service: str
     flows: list[FlowRecord]
@@ -121,7 +123,7 @@
 
 @attrs.frozen(slots=True)
 class AskFlows:
-    """A restarted agent asks which flows it owned."""
+    """Asks, after a restart of the sender, which flows it owned."""
 
     service: str
 
@@ -132,12 +134,13 @@
 
     Attributes:
         service: Service of both agents.
-        run: Number that pairs the reply.
+        run: Number that associates the reply with the request.
         caller: Endpoint of the caller.
         datagram: The caller's request.
-        remaining_ms: Time until the request's deadline, in milliseconds.
-        may_queue: The request may wait where no slot is free.
-        may_give_up: The receiver may give it back as too slow.
+        remaining_ms: Time until the deadline of the request, milliseconds.
+        may_queue: The receiver may queue the request if no slot is free.
+        may_give_up: The receiver may abort the run if it is slow, so that the
+            sender retries it elsewhere.
     """
 
     service: str
@@ -155,10 +158,11 @@
 
     Attributes:
         service: Service of both agents.
-        run: As asked.
-        status: How the run ended.
-        datagram: The backend server's response, where answered.
-        retry_after_s: When to come back, in seconds, where not answered.
+        run: Number of the run in the request.
+        status: Outcome of the run.
+        datagram: Response of the backend server, if it answered.
+        retry_after_s: Time until the caller should retry, if the server did
+            not answer, seconds.
     """
 
     service: str
@@ -170,7 +174,7 @@
 
 @attrs.frozen(slots=True)
 class AskOutcome:
-    """Asks the holder of a grant how the request ended."""
+    """Asks the holder of a grant for the outcome of the request."""
 
     service: str
     run: int
@@ -180,20 +184,20 @@
 
 @attrs.frozen(slots=True)
 class LoadReport:
-    """What an agent tells the other agents of its service.
+    """Reports the load of an agent to the other agents of its service.
 
     Attributes:
         service: Service of both agents.
         server: Name of the sender's backend server.
-        free: Slots that new work may take now.
-        in_flight: Slots taken now.
-        queued: Requests that wait for a slot.
-        leaving: The backend server takes no new work.
+        free: Number of slots that new requests may take now.
+        in_flight: Number of slots that are taken.
+        queued: Number of requests that wait for a slot.
+        leaving: The sender takes no new requests or flows.
         incarnation: Number that changes with each start of the sender.
-        limit: Slots that the sender uses at the most at present.
-        flows: Flows that the sender owns.
-        service_ms: Smoothed time that a run takes there, milliseconds; 0
-            before the first.
+        limit: Current limit of the slots in use.
+        flows: Number of flows that the sender owns.
+        service_ms: Smoothed service time of a run, milliseconds; 0 before the
+            first run.
     """
 
     service: str
@@ -210,10 +214,10 @@
 
 @attrs.frozen(slots=True)
 class ConfigAsk:
-    """Asks for what changed after a revision.
+    """Asks for the configuration changes after a revision.
 
     Attributes:
-        revision: Highest revision in force at the sender.
+        revision: Revision in force at the sender.
         service: Only this service; empty for all.
         zone: Only balancers of this availability zone; empty for all.
     """
@@ -225,14 +229,14 @@
 
 @attrs.frozen(slots=True)
 class ConfigDiff:
-    """What changed between two revisions.
+    """Sends the configuration changes between two revisions.
 
     Attributes:
         revision: Revision that the receiver reaches.
         base: Lowest revision that the difference can be applied to.
         changed: JSON text of each service that changed.
-        removed: Names of services that were dropped.
-        balancers: JSON text of the balancer list; empty where unchanged.
+        removed: Names of services that were removed.
+        balancers: JSON text of the balancer list; empty if unchanged.
         service: Scope of the difference; empty for all services.
     """
 
@@ -246,7 +250,7 @@
 
 @attrs.frozen(slots=True)
 class LeavingHosts:
-    """Names of hosts that the platform says are about to stop."""
+    """Sends the names of hosts that are about to stop, by the platform."""
 
     names: list[str]
 
--- a/notchhoist/model/witness_messages.py
+++ b/notchhoist/model/witness_messages.py
@@ -1,6 +1,6 @@
-"""Messages between agents as witnesses of once-only requests.
+"""Messages between agents and the witnesses of non-repeatable requests.
 
-Their structs stand in ``wire/peer.thrift`` under the same names.
+Every message class has a struct of the same name in ``wire/peer.thrift``.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Verdict(enum.IntEnum):
-    """What a witness says to a request for a grant or a fence."""
+    """Vote of a witness on a claim of a grant or a fence."""
 
     GRANTED = 1
     DENIED = 2
@@ -20,10 +20,10 @@
 
 
 class Purpose(enum.IntEnum):
-    """What a claimant asks of a witness.
+    """Purpose of a request to a witness.
 
-    ``GRANT`` to run, ``FENCE`` so that an attempt never runs, ``RELEASE`` to
-    give back a grant that was not used.
+    ``GRANT`` claims the right to run a request, ``FENCE`` prevents an attempt
+    from ever running, and ``RELEASE`` releases a grant that was not used.
     """
 
     GRANT = 1
@@ -33,13 +33,13 @@
 
 @attrs.frozen(slots=True)
 class GrantRequest:
-    """Asks a witness for a decision on an identity.
+    """Asks a witness for its vote on an identity.
 
     Attributes:
         service: Service of the request.
         identity: Digest that names the request.
         attempt: Digest that names one sending of it.
-        purpose: What is asked.
+        purpose: Whether to grant, fence or release.
         epoch: Revision at which the sender's set of servers last changed.
         claim: Number of the sender's claim.
     """
@@ -58,13 +58,13 @@
 
     Attributes:
         service: Service of the request.
-        identity: As asked.
-        attempt: As asked.
-        purpose: As asked.
-        verdict: The answer.
-        holder: Who holds the grant, where it is denied for that.
+        identity: As in the request.
+        attempt: As in the request.
+        purpose: As in the request.
+        verdict: Vote of the witness.
+        holder: Agent that holds the grant, if there is one.
         epoch: Revision at which the witness's set of servers last changed.
-        claim: As asked.
+        claim: As in the request.
     """
 
     service: str
@@ -79,23 +79,23 @@
 
 @attrs.frozen(slots=True)
 class AskRecords:
-    """A young witness asks a peer for what it remembers."""
+    """Asks a peer for its records; sent by a recently started witness."""
 
     service: str
 
 
 @attrs.frozen(slots=True)
 class RecordEntry:
-    """What a witness remembers of one identity.
+    """Record of a witness about one identity.
 
     Attributes:
         identity: Digest that names the request.
-        age_ms: Time since the first word of it, milliseconds.
-        sealed: It may have been granted to somebody, nobody knows whom.
+        age_ms: Time since the record was created, milliseconds.
+        sealed: The identity may have been granted to an unknown claimant.
         holder: Agent that holds the grant, or None.
         claim: Number of the holder's claim; 0 without a holder.
         granted_attempt: Attempt that the grant was given for.
-        fenced: Attempts that will never be granted.
+        fenced: Attempts that are never granted.
     """
 
     identity: bytes
@@ -109,7 +109,7 @@
 
 @attrs.frozen(slots=True)
 class AgentSet:
-    """A set of agents that was in force."""
+    """An earlier set of the agents of a service that still counts."""
 
     agents: list[Endpoint]
 
@@ -120,12 +120,11 @@
 
     Attributes:
         service: Service of both agents.
-        complete: The sender is older than a lifetime, or has taken in the
-            complete memory of every other agent.
-        vouchers: Where it has not, the agents whose complete memory it has
-            taken in.
-        records: What the receiver is a witness of.
-        sets: Sets of agents that still count.
+        complete: The sender started more than a lifetime ago, or has merged
+            the complete records of every other agent.
+        vouchers: Agents whose complete records the sender has merged.
+        records: Records of the identities that the receiver is a witness of.
+        sets: Earlier sets of agents that still count.
     """
 
     service: str
