--- a/notchhoist/parts/admission.py
+++ b/notchhoist/parts/admission.py
@@ -147,8 +147,7 @@
     def enqueue(self, job: Job) -> Job | None:
         """Queues a request.
 
-        The caller checks with ``can_meet`` first that the deadline of the
-        request can be met.
+        The caller checks the deadline with ``can_meet`` first.
 
         Args:
             job: The request.
--- a/notchhoist/parts/placement.py
+++ b/notchhoist/parts/placement.py
@@ -40,8 +40,8 @@
     """Picks the less utilized of two candidates sampled at random.
 
     Load reports are delayed. If every agent picked the least loaded candidate
-    of all, it would get all new work until its next report; with the better
-    of two random candidates it does not.
+    of all, that one would get all new work until its next report. The better
+    of two random candidates avoids this.
 
     Examples:
         >>> agents = [model.Endpoint("a", n) for n in range(2)]
--- a/notchhoist/parts/tenure.py
+++ b/notchhoist/parts/tenure.py
@@ -8,8 +8,8 @@
     """Tells when a key that is unknown to a node can be taken for new.
 
     A node that has just taken a role, or that was paused, cannot distinguish
-    a new key from one that was in use before and not reported to it. After a
-    whole idle timeout of the keys it can.
+    a new key from one that is in use and was not reported to it. After a whole
+    idle timeout of the keys it can.
 
     Examples:
         >>> tenure = Tenure(needed_s=30.0, since=100.0)
