--- a/notchhoist/controllers/agent_node.py
+++ b/notchhoist/controllers/agent_node.py
@@ -14,19 +14,19 @@
     make_agent_board,
 )
 from notchhoist.blackboards.agent import QUEUE_PER_SLOT
-from notchhoist.controllers.claims import ClaimKeeper
+from notchhoist.controllers.claim_results import ClaimResultHandler
+from notchhoist.controllers.claims import ClaimCoordinator
 from notchhoist.controllers.config_sync import ConfigSynchronizer
-from notchhoist.controllers.delegating import DelegationKeeper
-from notchhoist.controllers.exchanges import ExchangeKeeper
+from notchhoist.controllers.exchanges import MessageLayer
 from notchhoist.controllers.flows import FlowKeeper
-from notchhoist.controllers.granting import ClaimFollower
 from notchhoist.controllers.loads import LoadKeeper
 from notchhoist.controllers.moving import FlowMover
 from notchhoist.controllers.node import take_effects
-from notchhoist.controllers.outcomes import OutcomeKeeper
+from notchhoist.controllers.outcomes import OutcomeReporter
 from notchhoist.controllers.pointers import PointerReplicator
-from notchhoist.controllers.remembering import MemoryKeeper
-from notchhoist.controllers.running import RunKeeper
+from notchhoist.controllers.run_delegator import RunDelegator
+from notchhoist.controllers.run_dispatcher import RunDispatcher
+from notchhoist.controllers.witness_recovery import WitnessRecovery
 
 
 @attrs.define
@@ -38,11 +38,11 @@
     loads: LoadKeeper
     pointers: PointerReplicator
     flows: FlowKeeper
-    exchanges: ExchangeKeeper
-    claims: ClaimKeeper
-    runs: RunKeeper
-    delegations: DelegationKeeper
-    memory: MemoryKeeper
+    exchanges: MessageLayer
+    claims: ClaimCoordinator
+    runs: RunDispatcher
+    delegations: RunDelegator
+    memory: WitnessRecovery
 
     def handle(self, event: model.Event, now: float) -> list[model.Effect]:
         """Handles an event and returns the effects to perform."""
@@ -258,18 +258,18 @@
     pointers = PointerReplicator(board)
     flows = FlowKeeper(board, loads, pointers, rng)
     pointers.adopt = flows.adopt
-    exchanges = ExchangeKeeper(board, loads)
-    claims = ClaimKeeper(board, rng)
-    runs = RunKeeper(
+    exchanges = MessageLayer(board, loads)
+    claims = ClaimCoordinator(board, rng)
+    runs = RunDispatcher(
         board=board,
         loads=loads,
         flows=flows,
         exchanges=exchanges,
         claims=claims,
         moves=FlowMover(board, loads, flows),
-        outcomes=OutcomeKeeper(board, exchanges),
+        outcomes=OutcomeReporter(board, exchanges),
     )
-    delegations = DelegationKeeper(board, loads, exchanges, runs)
+    delegations = RunDelegator(board, loads, exchanges, runs)
     node = AgentNode(
         board=board,
         config=_make_config_synchronizer(board, rng),
@@ -280,7 +280,7 @@
         claims=claims,
         runs=runs,
         delegations=delegations,
-        memory=MemoryKeeper(board, claims, on_new_sets=pointers.recover),
+        memory=WitnessRecovery(board, claims, on_new_sets=pointers.recover),
     )
     _connect_controllers(node)
     return node
@@ -308,8 +308,8 @@
     node.flows.on_datagram = node.exchanges.on_datagram
     node.exchanges.on_run = node.runs.submit
     node.exchanges.on_pinned = lambda flow: node.pointers.announce([flow])
-    node.claims.on_settled = ClaimFollower(node.runs).on_claim
+    node.claims.on_settled = ClaimResultHandler(node.runs).on_claim
     node.runs.delegate = node.delegations.delegate
-    node.runs.delegate_assigned = node.delegations.delegate_assigned
+    node.runs.delegate_continuation = node.delegations.delegate_continuation
     node.runs.ask_outcome = node.delegations.ask_outcome
     node.runs.outcomes.reply = node.delegations.reply
--- a/notchhoist/controllers/granting.py
+++ b/notchhoist/controllers/claim_results.py
@@ -4,7 +4,7 @@
 
 from notchhoist import model
 from notchhoist.blackboards import ClaimState, Run, RunState
-from notchhoist.controllers.running import RunKeeper
+from notchhoist.controllers.run_dispatcher import RunDispatcher
 
 GRANT_LEASE_S = 1.0
 """Validity of a grant or fence since its claim began, seconds.
@@ -15,14 +15,14 @@
 
 
 @attrs.define(slots=False)
-class ClaimFollower:
+class ClaimResultHandler:
     """Continues runs whose claims are won or lost.
 
     Attributes:
         runs: Dispatches and ends the runs.
     """
 
-    runs: RunKeeper
+    runs: RunDispatcher
 
     def on_claim(self, state: ClaimState, won: bool, now: float) -> None:
         """Continues a run whose claim is settled.
--- a/notchhoist/controllers/claims.py
+++ b/notchhoist/controllers/claims.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define
-class ClaimKeeper:
+class ClaimCoordinator:
     """Collects the votes of witnesses, and votes as a witness itself.
 
     Attributes:
--- a/notchhoist/controllers/exchanges.py
+++ b/notchhoist/controllers/exchanges.py
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class ExchangeKeeper:
+class MessageLayer:
     """Processes the datagrams of owned flows and sends answers to callers.
 
     Attributes:
--- a/notchhoist/controllers/outcomes.py
+++ b/notchhoist/controllers/outcomes.py
@@ -14,7 +14,7 @@
     RemoteOrigin,
     Run,
 )
-from notchhoist.controllers.exchanges import ExchangeKeeper
+from notchhoist.controllers.exchanges import MessageLayer
 
 OUTCOME_CAPACITY = 100_000
 MAX_LATENCY_US = 600_000_000
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class OutcomeKeeper:
+class OutcomeReporter:
     """Reports outcomes and stores those of non-repeatable requests.
 
     Attributes:
@@ -48,7 +48,7 @@
     """
 
     board: AgentBoard
-    exchanges: ExchangeKeeper
+    exchanges: MessageLayer
     reply: Callable[
         [RemoteOrigin, model.RunStatus, wire.CoapMessage | None, int], None
     ] = attrs.field(init=False)
--- a/notchhoist/controllers/delegating.py
+++ b/notchhoist/controllers/run_delegator.py
@@ -15,9 +15,9 @@
     Run,
     RunState,
 )
-from notchhoist.controllers.exchanges import ExchangeKeeper, upload_key
+from notchhoist.controllers.exchanges import MessageLayer, upload_key
 from notchhoist.controllers.loads import LoadKeeper
-from notchhoist.controllers.running import RunKeeper
+from notchhoist.controllers.run_dispatcher import RunDispatcher
 
 RESEND_INTERVAL_S = 0.4
 """Time after which a message to a silent peer is sent again, seconds."""
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class DelegationKeeper:
+class RunDelegator:
     """Delegates runs to peers and accepts runs of peers.
 
     Attributes:
@@ -42,8 +42,8 @@
 
     board: AgentBoard
     loads: LoadKeeper
-    exchanges: ExchangeKeeper
-    runs: RunKeeper
+    exchanges: MessageLayer
+    runs: RunDispatcher
 
     def delegate(self, run: Run, may_queue: bool, now: float) -> bool:
         """Delegates a run to a peer with a free slot.
@@ -68,7 +68,7 @@
         if chosen is None:
             return False
         self._assign_upload(run, chosen.agent)
-        self.give(run, chosen.agent, may_queue, now)
+        self.delegate_to(run, chosen.agent, may_queue, now)
         return True
 
     def _assign_upload(self, run: Run, agent: model.Endpoint) -> None:
@@ -76,7 +76,7 @@
         if flow is not None and run.request.block1 is not None:
             flow.delegates[upload_key(run.request)] = agent
 
-    def delegate_assigned(self, run: Run, now: float) -> bool:
+    def delegate_continuation(self, run: Run, now: float) -> bool:
         """Delegates a later block to the peer that took the earlier blocks.
 
         Returns:
@@ -92,12 +92,12 @@
         agent = flow.delegates.get(key)
         if agent is None:
             return False
-        self.give(run, agent, True, now)
+        self.delegate_to(run, agent, True, now)
         if not block[1]:
             del flow.delegates[key]
         return True
 
-    def give(
+    def delegate_to(
         self, run: Run, agent: model.Endpoint, may_queue: bool, now: float
     ) -> None:
         """Delegates a run to the given peer."""
--- a/notchhoist/controllers/running.py
+++ b/notchhoist/controllers/run_dispatcher.py
@@ -17,12 +17,12 @@
     Run,
     RunState,
 )
-from notchhoist.controllers.claims import ClaimKeeper
-from notchhoist.controllers.exchanges import ExchangeKeeper
+from notchhoist.controllers.claims import ClaimCoordinator
+from notchhoist.controllers.exchanges import MessageLayer
 from notchhoist.controllers.flows import FlowKeeper
 from notchhoist.controllers.loads import LoadKeeper
 from notchhoist.controllers.moving import FlowMover
-from notchhoist.controllers.outcomes import OutcomeKeeper
+from notchhoist.controllers.outcomes import OutcomeReporter
 
 SEND_TIMEOUT_S = 0.5
 """Time until an unsent datagram to the backend server is dropped, seconds."""
@@ -47,7 +47,7 @@
 
 
 @attrs.define(slots=False)
-class RunKeeper:
+class RunDispatcher:
     """Dispatches runs, hands them to the backend server, and ends them.
 
     Attributes:
@@ -59,7 +59,7 @@
         moves: Moves whole flows to other agents.
         outcomes: Reports how runs ended.
         delegate: Delegates a run to a peer; False if none can take it.
-        delegate_assigned: Delegates a later block of an upload to the
+        delegate_continuation: Delegates a later block of an upload to the
             peer that took the earlier blocks; False if there is none.
         ask_outcome: Queries the holder of a grant for the outcome of a run.
     """
@@ -67,12 +67,14 @@
     board: AgentBoard
     loads: LoadKeeper
     flows: FlowKeeper
-    exchanges: ExchangeKeeper
-    claims: ClaimKeeper
+    exchanges: MessageLayer
+    claims: ClaimCoordinator
     moves: FlowMover
-    outcomes: OutcomeKeeper
+    outcomes: OutcomeReporter
     delegate: Callable[[Run, bool, float], bool] = attrs.field(init=False)
-    delegate_assigned: Callable[[Run, float], bool] = attrs.field(init=False)
+    delegate_continuation: Callable[[Run, float], bool] = attrs.field(
+        init=False
+    )
     ask_outcome: Callable[[Run, model.Endpoint, float], None] = attrs.field(
         init=False
     )
@@ -96,7 +98,7 @@
         the queue of a peer is used if the local one is full or the local
         backend server takes no new work.
         """
-        if self.delegate_assigned(run, now):
+        if self.delegate_continuation(run, now):
             return
         if self._needs_flow_server(run):
             self._dispatch_to_flow_server(run, now)
--- a/notchhoist/controllers/remembering.py
+++ b/notchhoist/controllers/witness_recovery.py
@@ -6,8 +6,8 @@
 
 from notchhoist import model, parts
 from notchhoist.blackboards import AgentBoard
-from notchhoist.controllers.claims import ClaimKeeper
-from notchhoist.controllers.granting import GRANT_LEASE_S
+from notchhoist.controllers.claim_results import GRANT_LEASE_S
+from notchhoist.controllers.claims import ClaimCoordinator
 
 RECOVERY_DELAY_S = GRANT_LEASE_S + 0.3
 """Time from a restart to the first request for records, seconds.
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class MemoryKeeper:
+class WitnessRecovery:
     """Recovers the records of this witness, and sends them to its peers.
 
     Attributes:
@@ -31,7 +31,7 @@
     """
 
     board: AgentBoard
-    claims: ClaimKeeper
+    claims: ClaimCoordinator
     on_new_sets: Callable[[], None]
 
     def tick(self, now: float) -> None:
--- a/notchhoist/testing/baselines.py
+++ b/notchhoist/testing/baselines.py
@@ -8,15 +8,15 @@
 from notchhoist import controllers, model, parts, wire
 from notchhoist.blackboards import ClaimState, Run
 from notchhoist.controllers.balancing import FlowForwarder
-from notchhoist.controllers.claims import ClaimKeeper
-from notchhoist.controllers.granting import ClaimFollower
+from notchhoist.controllers.claim_results import ClaimResultHandler
+from notchhoist.controllers.claims import ClaimCoordinator
 from notchhoist.controllers.moving import FlowMover
-from notchhoist.controllers.running import RunKeeper
+from notchhoist.controllers.run_dispatcher import RunDispatcher
 from notchhoist.testing.retry_budget import RetryBudget
 
 
 @attrs.define
-class NoMemory(ClaimKeeper):
+class NoMemory(ClaimCoordinator):
     """Wins every claim at once: nothing but retransmissions is recognized."""
 
     def start(self, run: Run, purpose: model.Purpose, now: float) -> None:
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class HomeAlone(ClaimKeeper):
+class HomeAlone(ClaimCoordinator):
     """Asks only the first witness: simple, and it fails by refusing."""
 
     def witness_sets(
@@ -37,7 +37,7 @@
         return tuple(group[:1] for group in sets)
 
 
-def use_claims(node: controllers.Node, kind: type[ClaimKeeper]) -> None:
+def use_claims(node: controllers.Node, kind: type[ClaimCoordinator]) -> None:
     """Gives an agent another way to claim."""
     if not isinstance(node, controllers.AgentNode):
         return
@@ -118,7 +118,7 @@
 
 
 @attrs.define
-class BlindPlacement(RunKeeper):
+class BlindPlacement(RunDispatcher):
     """Places each request at an agent chosen without a look at loads."""
 
     turn: int = 0
@@ -149,7 +149,7 @@
 
 
 @attrs.define
-class BudgetedRuns(RunKeeper):
+class BudgetedRuns(RunDispatcher):
     """Retries within a budget that successes fund.
 
     Attributes:
@@ -200,7 +200,9 @@
         return agents[self.turn % len(agents)]
 
 
-def use_runs(node: controllers.Node, kind: type[RunKeeper]) -> RunKeeper:
+def use_runs(
+    node: controllers.Node, kind: type[RunDispatcher]
+) -> RunDispatcher:
     """Gives an agent another way to place, run and retry requests."""
     if not isinstance(node, controllers.AgentNode):
         raise TypeError("only agents run requests")
@@ -218,12 +220,12 @@
     delegations.runs = runs
     node.runs = runs
     node.exchanges.on_run = runs.submit
-    node.claims.on_settled = ClaimFollower(runs).on_claim
+    node.claims.on_settled = ClaimResultHandler(runs).on_claim
     runs.delegate = delegations.delegate
-    runs.delegate_assigned = delegations.delegate_assigned
+    runs.delegate_continuation = delegations.delegate_continuation
     runs.ask_outcome = delegations.ask_outcome
     if isinstance(runs, BlindPlacement):
-        runs.give = lambda run, agent, now: delegations.give(
+        runs.give = lambda run, agent, now: delegations.delegate_to(
             run, agent, True, now
         )
     return runs
