--- a/notchhoist/blackboards/agent.py
+++ b/notchhoist/blackboards/agent.py
@@ -250,7 +250,7 @@
         """Adds a message to a peer to the outbox."""
         self.outbox.append(model.SendPeer(to, message))
 
-    def note_decision(
+    def record_decision(
         self, run: Run, outcome: str, reason: str, now: float
     ) -> None:
         """Records a decision about a request for operators.
@@ -277,7 +277,7 @@
             )
         )
 
-    def draw_number(self) -> int:
+    def allocate_run_number(self) -> int:
         """Returns a number that no other run of this incarnation has."""
         self.next_number += 1
         return self.next_number
--- a/notchhoist/controllers/agent_node.py
+++ b/notchhoist/controllers/agent_node.py
@@ -18,9 +18,9 @@
 from notchhoist.controllers.claims import ClaimCoordinator
 from notchhoist.controllers.config_sync import ConfigSynchronizer
 from notchhoist.controllers.exchanges import MessageLayer
-from notchhoist.controllers.flows import FlowKeeper
-from notchhoist.controllers.loads import LoadKeeper
-from notchhoist.controllers.moving import FlowMover
+from notchhoist.controllers.flow_mover import FlowMover
+from notchhoist.controllers.flow_router import FlowRouter
+from notchhoist.controllers.load_tracker import LoadTracker
 from notchhoist.controllers.node import take_effects
 from notchhoist.controllers.outcomes import OutcomeReporter
 from notchhoist.controllers.pointers import PointerReplicator
@@ -35,9 +35,9 @@
 
     board: AgentBoard
     config: ConfigSynchronizer
-    loads: LoadKeeper
+    loads: LoadTracker
     pointers: PointerReplicator
-    flows: FlowKeeper
+    flows: FlowRouter
     exchanges: MessageLayer
     claims: ClaimCoordinator
     runs: RunDispatcher
@@ -254,9 +254,9 @@
     """
     board = make_agent_board(identity, now, seeds)
     rng = random.Random(seed)
-    loads = LoadKeeper(board)
+    loads = LoadTracker(board)
     pointers = PointerReplicator(board)
-    flows = FlowKeeper(board, loads, pointers, rng)
+    flows = FlowRouter(board, loads, pointers, rng)
     pointers.adopt = flows.adopt
     exchanges = MessageLayer(board, loads)
     claims = ClaimCoordinator(board, rng)
--- a/notchhoist/controllers/balancer_node.py
+++ b/notchhoist/controllers/balancer_node.py
@@ -11,8 +11,8 @@
     Count,
     make_balancer_board,
 )
-from notchhoist.controllers.balancing import FlowForwarder
 from notchhoist.controllers.config_sync import ConfigSynchronizer
+from notchhoist.controllers.flow_forwarder import FlowForwarder
 from notchhoist.controllers.node import take_effects
 
 
--- a/notchhoist/controllers/exchanges.py
+++ b/notchhoist/controllers/exchanges.py
@@ -21,7 +21,7 @@
     Origin,
     Run,
 )
-from notchhoist.controllers.loads import LoadKeeper
+from notchhoist.controllers.load_tracker import LoadTracker
 
 MAX_EXCHANGES_PER_FLOW = 64
 DEFAULT_KIND = model.Kind(
@@ -42,7 +42,7 @@
     """
 
     board: AgentBoard
-    loads: LoadKeeper
+    loads: LoadTracker
     on_run: Callable[[Run, float], None] = attrs.field(init=False)
     on_pinned: Callable[[Flow], None] = attrs.field(init=False)
 
@@ -149,7 +149,7 @@
         """
         kind = kind_of(self.board.service, request)
         run = Run(
-            number=self.board.draw_number(),
+            number=self.board.allocate_run_number(),
             caller=caller,
             request=request,
             datagram=datagram,
@@ -187,7 +187,7 @@
 
     def send_to_caller(self, flow: Flow, datagram: bytes, now: float) -> None:
         """Sends a datagram to the caller of a flow through a live balancer."""
-        balancer = self.loads.return_balancer(flow.balancer, now)
+        balancer = self.loads.choose_balancer(flow.balancer, now)
         if balancer is None:
             return
         self.board.send(
--- a/notchhoist/controllers/moving.py
+++ b/notchhoist/controllers/flow_mover.py
@@ -4,8 +4,8 @@
 
 from notchhoist import model, parts
 from notchhoist.blackboards import AgentBoard, Flow, Run
-from notchhoist.controllers.flows import FlowKeeper
-from notchhoist.controllers.loads import LoadKeeper
+from notchhoist.controllers.flow_router import FlowRouter
+from notchhoist.controllers.load_tracker import LoadTracker
 
 
 @attrs.define
@@ -19,8 +19,8 @@
     """
 
     board: AgentBoard
-    loads: LoadKeeper
-    flows: FlowKeeper
+    loads: LoadTracker
+    flows: FlowRouter
 
     def move_stream(self, run: Run, now: float) -> bool:
         """Moves a flow whose stream cannot open at a draining server.
@@ -66,7 +66,7 @@
         chosen = parts.most_free(candidates)
         if chosen is None:
             return False
-        self.loads.note_sent(chosen.agent)
+        self.loads.record_sent(chosen.agent)
         self._move(run, flow, chosen.agent, now)
         return True
 
--- a/notchhoist/controllers/flows.py
+++ b/notchhoist/controllers/flow_router.py
@@ -14,7 +14,7 @@
 
 from notchhoist import model, parts
 from notchhoist.blackboards import AgentBoard, Count, Flow, OwnerQuery
-from notchhoist.controllers.loads import LoadKeeper
+from notchhoist.controllers.load_tracker import LoadTracker
 from notchhoist.controllers.pointers import MS_PER_S, PointerReplicator
 
 MAX_HOPS = 4
@@ -42,7 +42,7 @@
 
 
 @attrs.define
-class FlowKeeper:
+class FlowRouter:
     """Routes datagrams to the owners of flows, and places new flows.
 
     Attributes:
@@ -54,7 +54,7 @@
     """
 
     board: AgentBoard
-    loads: LoadKeeper
+    loads: LoadTracker
     pointers: PointerReplicator
     rng: random.Random
     on_datagram: Callable[[Flow, bytes, float], None] = attrs.field(init=False)
@@ -279,7 +279,7 @@
         self.board.counters[Count.FLOWS_PLACED] += 1
         chosen = self.choose_owner(now)
         self.board.directory.point(caller, chosen, now)
-        self.loads.note_sent(chosen)
+        self.loads.record_sent(chosen)
         for forward in forwards:
             self._forward_to(forward, chosen, True, now)
 
--- a/notchhoist/controllers/loads.py
+++ b/notchhoist/controllers/load_tracker.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define
-class LoadKeeper:
+class LoadTracker:
     """Reports the load of this agent, and tracks the load of its peers.
 
     Attributes:
@@ -130,7 +130,7 @@
         state = self.board.peers.get(agent)
         return 0 if state is None else state.report.incarnation
 
-    def note_sent(self, agent: model.Endpoint) -> None:
+    def record_sent(self, agent: model.Endpoint) -> None:
         """Counts work that was given to a peer since its last report."""
         state = self.board.peers.get(agent)
         if state is not None:
@@ -218,7 +218,7 @@
         )
         return _weighted_candidate(server, report, len(board.flows))
 
-    def return_balancer(
+    def choose_balancer(
         self, preferred: model.Endpoint | None, now: float
     ) -> model.Endpoint | None:
         """Chooses the balancer that relays a datagram to a caller.
--- a/notchhoist/controllers/outcomes.py
+++ b/notchhoist/controllers/outcomes.py
@@ -85,7 +85,7 @@
         """Stores the outcome of a run and reports it to all its origins."""
         if response is not None:
             self._record_latency(run, now)
-        self.board.note_decision(run, status.name.lower(), run.refusal, now)
+        self.board.record_decision(run, status.name.lower(), run.refusal, now)
         outcome = Outcome(run.attempt, status, response, now, run.retry_after_s)
         if run.identity:
             self._store(run.identity, outcome)
--- a/notchhoist/controllers/run_delegator.py
+++ b/notchhoist/controllers/run_delegator.py
@@ -16,7 +16,7 @@
     RunState,
 )
 from notchhoist.controllers.exchanges import MessageLayer, upload_key
-from notchhoist.controllers.loads import LoadKeeper
+from notchhoist.controllers.load_tracker import LoadTracker
 from notchhoist.controllers.run_dispatcher import RunDispatcher
 
 RESEND_INTERVAL_S = 0.4
@@ -41,7 +41,7 @@
     """
 
     board: AgentBoard
-    loads: LoadKeeper
+    loads: LoadTracker
     exchanges: MessageLayer
     runs: RunDispatcher
 
@@ -102,7 +102,7 @@
     ) -> None:
         """Delegates a run to the given peer."""
         self.board.counters[Count.DELEGATED] += 1
-        self.loads.note_sent(agent)
+        self.loads.record_sent(agent)
         run.state = RunState.DELEGATED
         run.tries += 1
         message = model.RunRequest(
--- a/notchhoist/controllers/run_dispatcher.py
+++ b/notchhoist/controllers/run_dispatcher.py
@@ -19,9 +19,9 @@
 )
 from notchhoist.controllers.claims import ClaimCoordinator
 from notchhoist.controllers.exchanges import MessageLayer
-from notchhoist.controllers.flows import FlowKeeper
-from notchhoist.controllers.loads import LoadKeeper
-from notchhoist.controllers.moving import FlowMover
+from notchhoist.controllers.flow_mover import FlowMover
+from notchhoist.controllers.flow_router import FlowRouter
+from notchhoist.controllers.load_tracker import LoadTracker
 from notchhoist.controllers.outcomes import OutcomeReporter
 
 SEND_TIMEOUT_S = 0.5
@@ -65,8 +65,8 @@
     """
 
     board: AgentBoard
-    loads: LoadKeeper
-    flows: FlowKeeper
+    loads: LoadTracker
+    flows: FlowRouter
     exchanges: MessageLayer
     claims: ClaimCoordinator
     moves: FlowMover
@@ -327,7 +327,7 @@
     def retry(self, run: Run, now: float) -> None:
         """Runs a repeatable request at another backend server."""
         self.board.counters[Count.RETRIED] += 1
-        self.board.note_decision(run, "retried", "faster elsewhere", now)
+        self.board.record_decision(run, "retried", "faster elsewhere", now)
         run.may_give_up = False
         self._redispatch(run, now)
 
--- a/notchhoist/testing/baselines.py
+++ b/notchhoist/testing/baselines.py
@@ -7,10 +7,10 @@
 
 from notchhoist import controllers, model, parts, wire
 from notchhoist.blackboards import ClaimState, Run
-from notchhoist.controllers.balancing import FlowForwarder
 from notchhoist.controllers.claim_results import ClaimResultHandler
 from notchhoist.controllers.claims import ClaimCoordinator
-from notchhoist.controllers.moving import FlowMover
+from notchhoist.controllers.flow_forwarder import FlowForwarder
+from notchhoist.controllers.flow_mover import FlowMover
 from notchhoist.controllers.run_dispatcher import RunDispatcher
 from notchhoist.testing.retry_budget import RetryBudget
 
