--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -103,7 +103,7 @@
         other = model.Endpoint(f"10.{number // 250}.1.{number % 250}", 9)
         for port in range(2):
             pointed = attrs.evolve(other, port=port)
-            node.board.directory.point(pointed, other, 0.0, True)
+            node.board.directory.set_pointer(pointed, other, 0.0, True)
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return size
--- a/benchmarks/bench_recovery.py
+++ b/benchmarks/bench_recovery.py
@@ -78,7 +78,7 @@
     ]
     last = max(refused, default=began) - began
     whole = sum(
-        not node.board.witness.is_young(world.now)
+        not node.board.witness.is_recently_started(world.now)
         for node in (host.node for host in world.hosts.values())
         if isinstance(node, controllers.AgentNode)
     )
--- a/notchhoist/blackboards/agent.py
+++ b/notchhoist/blackboards/agent.py
@@ -324,7 +324,7 @@
             started_at=now,
         ),
         admission=parts.Admission(
-            ramp=parts.Ramp(slots=INITIAL_SLOTS),
+            ramp=parts.SlotLimit(slots=INITIAL_SLOTS),
             queue_limit=QUEUE_PER_SLOT * INITIAL_SLOTS,
         ),
     )
--- a/notchhoist/controllers/claims.py
+++ b/notchhoist/controllers/claims.py
@@ -195,9 +195,9 @@
             state.holder = decision.holder.agent
 
     def _settle_if_decided(self, state: ClaimState, now: float) -> None:
-        tally = state.claim.tally()
-        if tally is not parts.Tally.OPEN:
-            self._settle(state, tally is parts.Tally.WON, now)
+        tally = state.claim.status()
+        if tally is not parts.ClaimStatus.OPEN:
+            self._settle(state, tally is parts.ClaimStatus.WON, now)
 
     def _settle(self, state: ClaimState, won: bool, now: float) -> None:
         if self.board.claims.pop(state.number, None) is None:
--- a/notchhoist/controllers/flow_mover.py
+++ b/notchhoist/controllers/flow_mover.py
@@ -63,7 +63,7 @@
         if takes and self.board.admission.free() > 0:
             return False
         candidates = self.loads.request_candidates(now, run.excluded)
-        chosen = parts.most_free(candidates)
+        chosen = parts.least_utilized_with_free_slot(candidates)
         if chosen is None:
             return False
         self.loads.record_sent(chosen.agent)
--- a/notchhoist/controllers/flow_router.py
+++ b/notchhoist/controllers/flow_router.py
@@ -172,7 +172,7 @@
             self._forward_to(forward, referred[0], False, now)
         elif caller in self.board.asks:
             self.board.asks[caller].forwards.append(forward)
-        elif self.board.tenure.holds(now):
+        elif self.board.tenure.is_long_enough(now):
             self._place(caller, [forward], now)
         else:
             self._query_peers(forward, now)
@@ -219,7 +219,7 @@
         if query.heard is None:
             self._place(caller, query.forwards, now)
             return
-        self.board.directory.point(caller, query.heard, query.heard_at)
+        self.board.directory.set_pointer(caller, query.heard, query.heard_at)
         for forward in query.forwards:
             self._forward_to(forward, query.heard, True, now)
 
@@ -278,7 +278,7 @@
     ) -> None:
         self.board.counters[Count.FLOWS_PLACED] += 1
         chosen = self.choose_owner(now)
-        self.board.directory.point(caller, chosen, now)
+        self.board.directory.set_pointer(caller, chosen, now)
         self.loads.record_sent(chosen)
         for forward in forwards:
             self._forward_to(forward, chosen, True, now)
@@ -293,9 +293,9 @@
         """Makes another agent the owner of an unpinned flow."""
         self.board.counters[Count.FLOWS_MOVED] += 1
         del self.board.flows[flow.caller]
-        self.board.outbox.append(model.FlowClosed(flow.caller))
+        self.board.outbox.append(model.CloseFlowSocket(flow.caller))
         self.board.moved[flow.caller] = (to, now)
-        self.board.directory.point(flow.caller, to, now)
+        self.board.directory.set_pointer(flow.caller, to, now)
         self.pointers.announce_move(flow, to)
 
     def tick(self, now: float) -> None:
@@ -345,4 +345,4 @@
 
     def _close(self, caller: model.Endpoint) -> None:
         if caller not in self.board.flows and caller not in self.board.guests:
-            self.board.outbox.append(model.FlowClosed(caller))
+            self.board.outbox.append(model.CloseFlowSocket(caller))
--- a/notchhoist/controllers/pointers.py
+++ b/notchhoist/controllers/pointers.py
@@ -89,7 +89,7 @@
         unpins = old is not None and old.pinned and not record.pinned
         if unpins and old is not None and old.owner != sender:
             return
-        self.board.directory.point(
+        self.board.directory.set_pointer(
             record.caller, record.owner, heard_at, record.pinned
         )
 
--- a/notchhoist/controllers/run_delegator.py
+++ b/notchhoist/controllers/run_delegator.py
@@ -62,9 +62,13 @@
         if len(run.excluded) >= MAX_REFUSALS:
             return False
         candidates = self.loads.request_candidates(now, run.excluded)
-        chosen = parts.most_free(candidates)
+        chosen = parts.least_utilized_with_free_slot(candidates)
         if chosen is None and may_queue:
-            chosen = min(candidates, key=lambda item: item.fill, default=None)
+            chosen = min(
+                candidates,
+                key=lambda item: item.projected_utilization,
+                default=None,
+            )
         if chosen is None:
             return False
         self._assign_upload(run, chosen.agent)
--- a/notchhoist/controllers/run_dispatcher.py
+++ b/notchhoist/controllers/run_dispatcher.py
@@ -113,7 +113,7 @@
             return
         if self.delegate(run, False, now):
             return
-        if may_run_here and not self.board.admission.is_full():
+        if may_run_here and not self.board.admission.is_queue_full():
             self._enqueue(run, now)
         elif self.delegate(run, True, now):
             return
@@ -161,13 +161,13 @@
             del self.board.by_identity[run.identity]
 
     def _begin_if_free(self, run: Run, now: float) -> bool:
-        if not self.board.admission.try_enter(run):
+        if not self.board.admission.try_take_slot(run):
             return False
         self._begin(run, now)
         return True
 
     def _enqueue(self, run: Run, now: float) -> None:
-        if not self.board.admission.can_meet(run, now):
+        if not self.board.admission.can_meet_deadline(run, now):
             self.refuse(run, "deadline_too_near", now)
             return
         run.state = RunState.QUEUED
@@ -358,7 +358,7 @@
             self.board.admission.remove(run)
         if run.holds_slot:
             run.holds_slot = False
-            self.board.admission.leave(run.kind, service_s)
+            self.board.admission.release_slot(run.kind, service_s)
 
     def start_queued(self, now: float) -> None:
         """Gives free slots to queued runs; refuses those that are too late."""
@@ -372,7 +372,7 @@
 
     def _delegate_queued(self, now: float) -> None:
         """Delegates queued runs to peers with free slots."""
-        for job in self.board.admission.waiting():
+        for job in self.board.admission.queued_jobs():
             if not isinstance(job, Run) or job.is_for_peer:
                 continue
             if self._needs_flow_server(job) or job.request.block1 is not None:
--- a/notchhoist/controllers/witness_recovery.py
+++ b/notchhoist/controllers/witness_recovery.py
@@ -37,7 +37,7 @@
     def tick(self, now: float) -> None:
         """Requests records from peers that have not sent complete ones."""
         board = self.board
-        if not board.witness.is_young(now):
+        if not board.witness.is_recently_started(now):
             board.sets_known = True
             board.witness.vouchers.clear()
             return
@@ -55,14 +55,14 @@
         """Sends a peer the records of identities that it is a witness of."""
         witness = self.board.witness
         records = [
-            parts.entry_of(identity, record, now)
+            parts.to_record_entry(identity, record, now)
             for identity, record in witness.records.items()
             if self._is_witness(sender, identity)
         ]
         message = model.Records(
             service=self.board.identity.service,
             complete=self.is_complete(now),
-            vouchers=witness.firm_vouchers(),
+            vouchers=witness.complete_vouchers(),
             records=records,
             sets=[model.AgentSet(list(agents)) for agents in self.board.sets],
         )
@@ -77,10 +77,10 @@
         records are complete after the memory lifetime.
         """
         witness = self.board.witness
-        if not witness.is_young(now):
+        if not witness.is_recently_started(now):
             return True
         others = self.board.known_agents()
-        firm = set(witness.firm_vouchers())
+        firm = set(witness.complete_vouchers())
         return self.board.sets_known and bool(others) and firm >= set(others)
 
     def _is_witness(self, agent: model.Endpoint, identity: bytes) -> bool:
@@ -92,9 +92,9 @@
     ) -> None:
         """Merges what a peer sent, if this witness was started recently."""
         board = self.board
-        if not board.witness.is_young(now) or board.service is None:
+        if not board.witness.is_recently_started(now) or board.service is None:
             return
-        parts.take_in(board.witness, sender, message, now)
+        parts.merge_peer_records(board.witness, sender, message, now)
         self._merge_sets(message.sets, board.service, now)
         board.told_sets.add(sender)
         self._update_sets_known()
--- a/notchhoist/daemon/runtime.py
+++ b/notchhoist/daemon/runtime.py
@@ -95,7 +95,7 @@
                     port.send(effect.datagram, effect.caller)
             case model.SendBackend():
                 self._send_backend(effect)
-            case model.FlowClosed():
+            case model.CloseFlowSocket():
                 self._close_flow(effect.caller)
             case model.ReadConfiguration():
                 self.tasks.start_soon(self._read_configuration, effect)
--- a/notchhoist/model/effects.py
+++ b/notchhoist/model/effects.py
@@ -106,7 +106,7 @@
 
 
 @attrs.frozen(slots=True)
-class FlowClosed:
+class CloseFlowSocket:
     """Close the socket of a flow."""
 
     caller: Endpoint
@@ -135,7 +135,7 @@
     SendPeer
     | SendCaller
     | SendBackend
-    | FlowClosed
+    | CloseFlowSocket
     | ReadConfiguration
     | ReadHosts
 )
--- a/notchhoist/parts/__init__.py
+++ b/notchhoist/parts/__init__.py
@@ -1,11 +1,19 @@
 """Embeddable coordination algorithms without I/O; callers pass the time."""
 
 from notchhoist.base.rendezvous import flow_hash_key, rank_nodes
-from notchhoist.parts.admission import Admission, Job, KindQueue, Ramp
-from notchhoist.parts.claim import Claim, Tally
+from notchhoist.parts.admission import Admission, Job, KindQueue, SlotLimit
+from notchhoist.parts.claim import Claim, ClaimStatus
 from notchhoist.parts.directory import Directory, Pointer
-from notchhoist.parts.placement import Candidate, most_free, two_choices
-from notchhoist.parts.recovery import entry_of, merge_records, take_in
+from notchhoist.parts.placement import (
+    Candidate,
+    least_utilized_with_free_slot,
+    two_choices,
+)
+from notchhoist.parts.recovery import (
+    merge_peer_records,
+    merge_records,
+    to_record_entry,
+)
 from notchhoist.parts.revisions import (
     Difference,
     RevisionStore,
@@ -35,20 +43,20 @@
     "KindQueue",
     "PauseDetector",
     "Pointer",
-    "Ramp",
+    "SlotLimit",
     "Record",
     "RevisionStore",
-    "Tally",
+    "ClaimStatus",
     "Tenure",
     "Witness",
     "balancers_for",
-    "entry_of",
+    "to_record_entry",
     "flow_hash_key",
     "majority_of",
     "merge_records",
-    "most_free",
+    "least_utilized_with_free_slot",
     "rank_nodes",
-    "take_in",
+    "merge_peer_records",
     "two_choices",
     "witnesses_of",
 ]
--- a/notchhoist/parts/admission.py
+++ b/notchhoist/parts/admission.py
@@ -28,14 +28,14 @@
 
 
 @attrs.define
-class Ramp:
+class SlotLimit:
     """Adaptive limit of the slots in use at a backend server.
 
     The limit starts at one slot, rises additively with answers, and falls
     multiplicatively when the server refuses a request or does not answer it.
 
     Examples:
-        >>> ramp = Ramp(slots=4)
+        >>> ramp = SlotLimit(slots=4)
         >>> ramp.limit()
         1
         >>> for _ in range(8):
@@ -106,7 +106,7 @@
             before the first run.
     """
 
-    ramp: Ramp
+    ramp: SlotLimit
     queue_limit: int
     in_flight: int = 0
     kinds: dict[str, KindQueue] = attrs.Factory(dict)
@@ -127,16 +127,16 @@
         """Returns the number of queued requests."""
         return sum(len(queue.jobs) for queue in self.kinds.values())
 
-    def waiting(self) -> list[Job]:
+    def queued_jobs(self) -> list[Job]:
         """Returns the queued requests, earliest deadline first."""
         jobs = [job for queue in self.kinds.values() for job in queue.jobs]
         return sorted(jobs, key=lambda job: job.deadline)
 
-    def is_full(self) -> bool:
+    def is_queue_full(self) -> bool:
         """Tells whether the queue has reached its limit."""
         return self.queued() >= self.queue_limit
 
-    def try_enter(self, job: Job) -> bool:
+    def try_take_slot(self, job: Job) -> bool:
         """Takes a slot for a request; False if none is free."""
         if self.free() <= 0:
             return False
@@ -147,7 +147,7 @@
     def enqueue(self, job: Job) -> Job | None:
         """Queues a request.
 
-        The caller checks the deadline with ``can_meet`` first.
+        The caller checks the deadline with ``can_meet_deadline`` first.
 
         Args:
             job: The request.
@@ -192,7 +192,7 @@
             return job, unservable
         return None, unservable
 
-    def leave(self, kind: str, service_s: float | None) -> None:
+    def release_slot(self, kind: str, service_s: float | None) -> None:
         """Releases a slot.
 
         Args:
@@ -243,7 +243,7 @@
     def _advance_virtual_time(self, queue: KindQueue) -> None:
         queue.passed = max(queue.passed, self.turn) + 1.0 / queue.weight
 
-    def can_meet(self, job: Job, now: float) -> bool:
+    def can_meet_deadline(self, job: Job, now: float) -> bool:
         """Estimates whether a request would be answered in time if queued.
 
         Args:
--- a/notchhoist/parts/claim.py
+++ b/notchhoist/parts/claim.py
@@ -8,7 +8,7 @@
 from notchhoist.parts.witness import majority_of
 
 
-class Tally(enum.Enum):
+class ClaimStatus(enum.Enum):
     """Status of a claim."""
 
     OPEN = "open"
@@ -28,10 +28,10 @@
         >>> claim = Claim(sets=((a, b, c),))
         >>> claim.vote(a, model.Verdict.GRANTED)
         >>> claim.vote(b, model.Verdict.ABSTAINED)
-        >>> claim.tally().name
+        >>> claim.status().name
         'OPEN'
         >>> claim.vote(c, model.Verdict.GRANTED)
-        >>> claim.tally().name
+        >>> claim.status().name
         'WON'
 
     Attributes:
@@ -53,23 +53,27 @@
         if voter in self.voters():
             self.votes.setdefault(voter, verdict)
 
-    def tally(self) -> Tally:
+    def status(self) -> ClaimStatus:
         """Returns the status of the claim.
 
         It is lost once one set can no longer reach a majority, and won once
         every set has one.
         """
         tallies = [self._tally_of_set(group) for group in self.sets]
-        if any(item is Tally.LOST for item in tallies):
-            return Tally.LOST
-        won = bool(tallies) and all(item is Tally.WON for item in tallies)
-        return Tally.WON if won else Tally.OPEN
+        if any(item is ClaimStatus.LOST for item in tallies):
+            return ClaimStatus.LOST
+        won = bool(tallies) and all(item is ClaimStatus.WON for item in tallies)
+        return ClaimStatus.WON if won else ClaimStatus.OPEN
 
-    def _tally_of_set(self, group: tuple[model.Endpoint, ...]) -> Tally:
+    def _tally_of_set(self, group: tuple[model.Endpoint, ...]) -> ClaimStatus:
         needed = majority_of(len(group))
         votes = [self.votes.get(node) for node in group]
         granted = votes.count(model.Verdict.GRANTED)
         if granted >= needed:
-            return Tally.WON
+            return ClaimStatus.WON
         open_votes = votes.count(None)
-        return Tally.OPEN if granted + open_votes >= needed else Tally.LOST
+        return (
+            ClaimStatus.OPEN
+            if granted + open_votes >= needed
+            else ClaimStatus.LOST
+        )
--- a/notchhoist/parts/directory.py
+++ b/notchhoist/parts/directory.py
@@ -34,7 +34,7 @@
     Examples:
         >>> directory = Directory(lease_s=10.0, capacity=100)
         >>> caller, agent = model.Endpoint("c", 1), model.Endpoint("a", 2)
-        >>> directory.point(caller, agent, now=0.0)
+        >>> directory.set_pointer(caller, agent, now=0.0)
         >>> directory.find(caller, now=5.0).owner == agent
         True
         >>> directory.find(caller, now=11.0) is None
@@ -51,7 +51,7 @@
     capacity: int
     pointers: OrderedDict[model.Endpoint, Pointer] = attrs.Factory(OrderedDict)
 
-    def point(
+    def set_pointer(
         self,
         caller: model.Endpoint,
         owner: model.Endpoint,
--- a/notchhoist/parts/placement.py
+++ b/notchhoist/parts/placement.py
@@ -29,7 +29,7 @@
     service_s: float = math.inf
 
     @property
-    def fill(self) -> float:
+    def projected_utilization(self) -> float:
         """Utilization after one more request or flow."""
         return (self.load + 1.0) / max(self.capacity, 1e-6)
 
@@ -64,10 +64,14 @@
     if not candidates:
         return None
     sampled = rng.sample(list(candidates), min(2, len(candidates)))
-    return min(sampled, key=lambda candidate: candidate.fill)
+    return min(sampled, key=lambda candidate: candidate.projected_utilization)
 
 
-def most_free(candidates: Sequence[Candidate]) -> Candidate | None:
+def least_utilized_with_free_slot(
+    candidates: Sequence[Candidate],
+) -> Candidate | None:
     """Returns the least utilized candidate with a free slot, or None."""
     available = [candidate for candidate in candidates if candidate.free > 0]
-    return min(available, key=lambda item: item.fill, default=None)
+    return min(
+        available, key=lambda item: item.projected_utilization, default=None
+    )
--- a/notchhoist/parts/recovery.py
+++ b/notchhoist/parts/recovery.py
@@ -46,7 +46,7 @@
     )
 
 
-def take_in(
+def merge_peer_records(
     witness: Witness,
     sender: model.Endpoint,
     message: model.Records,
@@ -91,7 +91,9 @@
     )
 
 
-def entry_of(identity: bytes, record: Record, now: float) -> model.RecordEntry:
+def to_record_entry(
+    identity: bytes, record: Record, now: float
+) -> model.RecordEntry:
     """Converts the record of an identity to its form in a message."""
     holder = record.holder
     return model.RecordEntry(
--- a/notchhoist/parts/tenure.py
+++ b/notchhoist/parts/tenure.py
@@ -13,7 +13,7 @@
 
     Examples:
         >>> tenure = Tenure(needed_s=30.0, since=100.0)
-        >>> tenure.holds(120.0), tenure.holds(131.0)
+        >>> tenure.is_long_enough(120.0), tenure.is_long_enough(131.0)
         (False, True)
 
     Attributes:
@@ -24,7 +24,7 @@
     needed_s: float
     since: float
 
-    def holds(self, now: float) -> bool:
+    def is_long_enough(self, now: float) -> bool:
         """Tells whether the role has been held long enough."""
         return now - self.since > self.needed_s
 
--- a/notchhoist/parts/tests/test_admission.py
+++ b/notchhoist/parts/tests/test_admission.py
@@ -14,23 +14,23 @@
 
 
 def make_admission(slots=2, queue_limit=8):
-    ramp = parts.Ramp(slots=slots, level=float(slots))
+    ramp = parts.SlotLimit(slots=slots, level=float(slots))
     return parts.Admission(ramp=ramp, queue_limit=queue_limit)
 
 
 def test_slots_are_never_exceeded():
     admission = make_admission(slots=2)
-    entered = [admission.try_enter(Job("a", 1, 9.0)) for _ in range(5)]
+    entered = [admission.try_take_slot(Job("a", 1, 9.0)) for _ in range(5)]
     assert entered == [True, True, False, False, False]
     assert admission.in_flight == 2
 
 
 def test_new_requests_do_not_overtake_queued_ones():
     admission = make_admission(slots=1)
-    admission.try_enter(Job("a", 1, 9.0))
+    admission.try_take_slot(Job("a", 1, 9.0))
     admission.enqueue(Job("a", 1, 9.0))
-    admission.leave("a", 0.1)
-    assert not admission.try_enter(Job("a", 1, 9.0))
+    admission.release_slot("a", 0.1)
+    assert not admission.try_take_slot(Job("a", 1, 9.0))
 
 
 def test_slots_are_shared_in_proportion_to_weights():
@@ -42,7 +42,7 @@
     for _ in range(50):
         job, _ = admission.next_job(0.0)
         served.append(job.kind)
-        admission.leave(job.kind, None)
+        admission.release_slot(job.kind, None)
     assert served.count("high") == pytest.approx(40, abs=2)
 
 
@@ -74,14 +74,14 @@
 
 def test_a_deadline_that_cannot_be_met_is_detected():
     admission = make_admission(slots=1)
-    admission.try_enter(Job("a", 1, 9.0))
-    admission.leave("a", 10.0)
-    assert not admission.can_meet(Job("a", 1, 1.0), 0.0)
-    assert admission.can_meet(Job("a", 1, 9.0), 0.0)
+    admission.try_take_slot(Job("a", 1, 9.0))
+    admission.release_slot("a", 10.0)
+    assert not admission.can_meet_deadline(Job("a", 1, 1.0), 0.0)
+    assert admission.can_meet_deadline(Job("a", 1, 9.0), 0.0)
 
 
 def test_slot_limit_rises_with_answers_and_falls_with_failures():
-    ramp = parts.Ramp(slots=4)
+    ramp = parts.SlotLimit(slots=4)
     limits = []
     for _ in range(9):
         ramp.succeeded()
--- a/notchhoist/parts/tests/test_recovery.py
+++ b/notchhoist/parts/tests/test_recovery.py
@@ -19,9 +19,9 @@
 
 def test_votes_once_all_other_witnesses_have_sent_records():
     witness = recently_started_witness()
-    parts.take_in(witness, PEER_A, records(True), 2.0)
+    parts.merge_peer_records(witness, PEER_A, records(True), 2.0)
     assert witness.abstains(2.0, OTHERS)
-    parts.take_in(witness, PEER_B, records(True), 2.0)
+    parts.merge_peer_records(witness, PEER_B, records(True), 2.0)
     assert not witness.abstains(2.0, OTHERS)
 
 
@@ -33,18 +33,20 @@
     """
     witness, second = recently_started_witness(), recently_started_witness()
     second.own = PEER_A
-    parts.take_in(second, OWN, records(False), 2.0)
-    parts.take_in(second, PEER_B, records(True), 2.0)
-    message = records(False, second.firm_vouchers())
-    parts.take_in(witness, PEER_A, message, 2.0)
-    parts.take_in(witness, PEER_B, records(True), 2.0)
+    parts.merge_peer_records(second, OWN, records(False), 2.0)
+    parts.merge_peer_records(second, PEER_B, records(True), 2.0)
+    message = records(False, second.complete_vouchers())
+    parts.merge_peer_records(witness, PEER_A, message, 2.0)
+    parts.merge_peer_records(witness, PEER_B, records(True), 2.0)
     assert witness.abstains(2.0, OTHERS)
 
 
 def test_records_of_a_recovered_witness_count_as_complete():
     witness = recently_started_witness()
-    parts.take_in(witness, PEER_A, records(False, [OWN, PEER_B]), 2.0)
-    parts.take_in(witness, PEER_B, records(True), 2.0)
+    parts.merge_peer_records(
+        witness, PEER_A, records(False, [OWN, PEER_B]), 2.0
+    )
+    parts.merge_peer_records(witness, PEER_B, records(True), 2.0)
     assert not witness.abstains(2.0, OTHERS)
 
 
@@ -57,11 +59,13 @@
     peer.grant(b"granted", b"a", CLAIMANT, 0.0)
     peer.fence(b"fenced", b"a", CLAIMANT, 0.0)
     entries = [
-        parts.entry_of(identity, record, 1.0)
+        parts.to_record_entry(identity, record, 1.0)
         for identity, record in peer.records.items()
     ]
     witness = recently_started_witness()
-    parts.take_in(witness, PEER_A, records(True, entries=entries), 1.0)
+    parts.merge_peer_records(
+        witness, PEER_A, records(True, entries=entries), 1.0
+    )
     other_claimant = parts.Claimant(PEER_B, claim=1)
     granted = witness.grant(b"granted", b"a", other_claimant, 2.0)
     assert granted.verdict is model.Verdict.DENIED
--- a/notchhoist/parts/tests/test_witness.py
+++ b/notchhoist/parts/tests/test_witness.py
@@ -71,11 +71,11 @@
     claim = parts.Claim(sets=((*nodes[:3],), (*nodes[1:],)))
     claim.vote(nodes[1], VERDICT.GRANTED)
     claim.vote(nodes[0], VERDICT.GRANTED)
-    assert claim.tally() is parts.Tally.OPEN
+    assert claim.status() is parts.ClaimStatus.OPEN
     claim.vote(nodes[3], VERDICT.DENIED)
     claim.vote(nodes[2], VERDICT.DENIED)
-    assert claim.tally() is parts.Tally.LOST
+    assert claim.status() is parts.ClaimStatus.LOST
 
 
 def test_a_claim_without_witnesses_is_not_won():
-    assert parts.Claim(sets=()).tally() is parts.Tally.OPEN
+    assert parts.Claim(sets=()).status() is parts.ClaimStatus.OPEN
--- a/notchhoist/parts/witness.py
+++ b/notchhoist/parts/witness.py
@@ -122,7 +122,7 @@
         attrs.Factory(dict)
     )
 
-    def is_young(self, now: float) -> bool:
+    def is_recently_started(self, now: float) -> bool:
         """Tells whether the records do not span a whole lifetime yet."""
         return now - self.started_at <= self.lifetime_s
 
@@ -137,7 +137,7 @@
             now: Runtime clock, seconds.
             others: The other witnesses of the identity.
         """
-        if not self.is_young(now):
+        if not self.is_recently_started(now):
             return False
         if not others:
             return True
@@ -145,7 +145,7 @@
             self._vouches_for_others(peer, others) for peer in others
         )
 
-    def firm_vouchers(self) -> list[model.Endpoint]:
+    def complete_vouchers(self) -> list[model.Endpoint]:
         """Returns the agents that sent complete records.
 
         Records of another recently started witness do not count: otherwise
--- a/notchhoist/testing/world.py
+++ b/notchhoist/testing/world.py
@@ -211,7 +211,7 @@
                 self._read(host, effect, host.generation)
             case model.ReadHosts():
                 self._read_hosts(host)
-            case model.FlowClosed():
+            case model.CloseFlowSocket():
                 pass
 
     def _carry(self, host: Host, effect: model.SendPeer) -> None:
