--- a/notchhoist/flows/model/backend_flows.py
+++ b/notchhoist/flows/model/backend_flows.py
@@ -32,9 +32,10 @@
 reordered on the way, not sent again."""
 
 STALLED_REQUEST_S = 1.5
-"""A request without an answer for this long, seconds, and for ``STALLED_REQUEST_SERVICE_TIMES``
-service times, no longer counts as using a slot. Requests take up to six times
-the mean; one request too many at a backend server only waits there."""
+"""A request without an answer for this long, seconds, and for
+``STALLED_REQUEST_SERVICE_TIMES`` service times, no longer counts as using a
+slot. Requests take up to six times the mean; one request too many at a backend
+server only waits there."""
 
 STALLED_REQUEST_SERVICE_TIMES = 8.0
 
--- a/notchhoist/flows/model/notes.py
+++ b/notchhoist/flows/model/notes.py
@@ -130,7 +130,9 @@
     """Returns a note for an agent of the service that has a tag.
 
     Examples:
-        >>> hints = RequestHints(objective_s=0.225, waited_s=0.2, priority=1, remaining_s=2.3)
+        >>> hints = RequestHints(
+        ...     objective_s=0.225, waited_s=0.2, priority=1, remaining_s=2.3
+        ... )
         >>> hints_of(to_agent(NoteKind.FORWARD, 7, hints)) == hints
         True
     """
--- a/notchhoist/flows/model/request_hints.py
+++ b/notchhoist/flows/model/request_hints.py
@@ -41,7 +41,9 @@
         """Returns the hints as they are a while later.
 
         Examples:
-            >>> hints = RequestHints(objective_s=0.15, waited_s=0.25, remaining_s=2.25)
+            >>> hints = RequestHints(
+            ...     objective_s=0.15, waited_s=0.25, remaining_s=2.25
+            ... )
             >>> hints.aged(0.25).waited_s, hints.aged(5.0).remaining_s
             (0.5, 0.05)
 
