--- a/notchhoist/daemon/__init__.py
+++ b/notchhoist/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon ``notchhoistd``: settings, sockets, tasks, dump, logs."""
+"""The daemon process: settings, sockets, timers, state dump and logs."""
--- a/notchhoist/daemon/dump.py
+++ b/notchhoist/daemon/dump.py
@@ -1,4 +1,4 @@
-"""State dump: every part of a blackboard as JSON, page by page."""
+"""State dump: the sections of a blackboard as JSON, in pages."""
 
 import collections
 import enum
@@ -11,18 +11,18 @@
 
 from notchhoist import blackboards, model, wire
 
-HIDDEN = frozenset(["outbox", "latencies", "store"])
-MAX_TEXT = 200
+HIDDEN_FIELDS = frozenset(["outbox", "latencies", "store"])
+MAX_TEXT_CHARACTERS = 200
 _STORE_SECTIONS = ("services", "balancers")
 
 
 @attrs.frozen(slots=False)
 class DumpRefusedError(model.NotchhoistError):
-    """A section that the blackboard does not have.
+    """Raised for a section that the blackboard does not have.
 
     Attributes:
-        section: What was asked for.
-        expected: The sections there are.
+        section: Name of the requested section.
+        expected: Names of the existing sections.
     """
 
     section: str
@@ -31,13 +31,13 @@
 
 @attrs.frozen
 class Page:
-    """A part of a section.
+    """One page of a section.
 
     Attributes:
         section: Name of the section.
-        total: Entries in the whole section.
-        offset: Place of the first entry here.
-        entries: The entries.
+        total: Number of entries in the whole section.
+        offset: Index in the section of the page's first entry.
+        entries: Entries of the page as plain JSON values.
     """
 
     section: str
@@ -52,8 +52,8 @@
 def sections_of(board: Board) -> list[str]:
     """Returns the names of a blackboard's sections."""
     names = [field.name for field in attrs.fields(type(board))]
-    shown = [name for name in names if name not in HIDDEN]
-    return [*shown, *_STORE_SECTIONS]
+    visible = [name for name in names if name not in HIDDEN_FIELDS]
+    return [*visible, *_STORE_SECTIONS]
 
 
 def dump_section(
@@ -64,22 +64,26 @@
     Args:
         board: The blackboard.
         section: Name of the section.
-        offset: Place of the first entry.
-        limit: Most entries.
+        offset: Index of the first entry.
+        limit: Maximum number of entries.
 
     Returns:
-        A ``Page`` in plain form.
+        A ``Page`` as a dictionary.
 
     Raises:
-        DumpRefusedError: There is no such section.
+        DumpRefusedError: The section does not exist.
     """
     names = sections_of(board)
     if section not in names:
         raise DumpRefusedError(section, " or ".join(names))
     holder = board.config.store if section in _STORE_SECTIONS else board
     entries, total = _entries(getattr(holder, section))
-    chosen = [plain(item) for item in islice(entries, offset, offset + limit)]
-    return attrs.asdict(Page(section, total, offset, chosen), recurse=False)
+    page_entries = [
+        plain(item) for item in islice(entries, offset, offset + limit)
+    ]
+    return attrs.asdict(
+        Page(section, total, offset, page_entries), recurse=False
+    )
 
 
 def _entries(value: Any) -> tuple[Iterable[Any], int]:
@@ -92,7 +96,7 @@
 
 
 def plain(value: Any) -> Any:
-    """Turns any value of a blackboard into plain JSON values.
+    """Converts any value of a blackboard to plain JSON values.
 
     Examples:
         >>> plain({model.Endpoint("10.0.0.1", 1): b"ab"})
@@ -105,7 +109,7 @@
     if isinstance(value, str):
         return value
     if isinstance(value, bytes):
-        return value.hex()[:MAX_TEXT]
+        return value.hex()[:MAX_TEXT_CHARACTERS]
     if isinstance(value, model.Endpoint):
         return str(value)
     if isinstance(value, wire.CoapMessage):
@@ -118,20 +122,20 @@
         return {
             field.name: plain(getattr(value, field.name))
             for field in attrs.fields(type(value))
-            if field.name not in HIDDEN
+            if field.name not in HIDDEN_FIELDS
         }
     if isinstance(value, Mapping):
         return {_key(key): plain(item) for key, item in value.items()}
     if isinstance(value, list | tuple | set | frozenset | collections.deque):
         return [plain(item) for item in value]
-    return repr(value)[:MAX_TEXT]
+    return repr(value)[:MAX_TEXT_CHARACTERS]
 
 
 def _key(key: Any) -> str:
-    shown = plain(key)
-    return shown if isinstance(shown, str) else str(shown)
+    text = plain(key)
+    return text if isinstance(text, str) else str(text)
 
 
 def to_json(value: Any) -> bytes:
-    """Writes plain values as JSON."""
+    """Encodes any value of a blackboard as JSON."""
     return orjson.dumps(plain(value))
--- a/notchhoist/daemon/http_call.py
+++ b/notchhoist/daemon/http_call.py
@@ -1,8 +1,8 @@
-"""HTTP GET calls, one at a time, each over a connection of its own.
+"""HTTP client for GET requests, with a new connection for each request.
 
-Open connections may go silent for good while new ones work. A connection that
-is kept would be found silent only when the next call on it has timed out, up to
-3 s for a watch; a new one costs a round trip of 1 to 3 ms a call.
+Open connections may stop delivering data for good while new connections work.
+On a persistent connection this is noticed only when the next request times out,
+after up to 3 s for a watch. A new connection costs a round trip of 1 to 3 ms.
 """
 
 import errno
@@ -14,33 +14,33 @@
 
 from notchhoist.daemon.loop import Loop, Timer
 
-CONNECT_S = 1.0
-"""A connection takes a few ms; 200 ms more where a packet is lost."""
+CONNECT_TIMEOUT_S = 1.0
+"""Connecting takes a few ms, and 200 ms more if a packet is lost."""
 
-PROBE_S = 1
-PROBES = 2
-"""TCP keep-alive: a peer that is cut off shows within 3 s."""
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+"""With these TCP keep-alive values an unreachable peer is found within 3 s."""
 
 USER_TIMEOUT_MS = 2000
 RECEIVE_BYTES = 262_144
 
 NO_ANSWER = "no answer in time"
-"""Reason of a call that was given up after its time."""
+"""Failure reason of a request that timed out."""
 
 NOT_NEEDED = "not needed any more"
-"""Reason of a call whose answer was given up while it came in."""
+"""Failure reason of a request cancelled while its response was received."""
 
 OnDone = Callable[[int, bytes], None]
 OnFailed = Callable[[str], None]
 IsNeeded = Callable[[], bool]
 
 
-def _always() -> bool:
+def _always_needed() -> bool:
     return True
 
 
-class _Answer(Struct, eq=False):
-    """Collects an answer; the parser calls the ``on_`` methods."""
+class _Response(Struct, eq=False):
+    """Collects a response; the parser calls its ``on_`` methods."""
 
     body: bytearray = field(default_factory=bytearray)
     headers: dict[str, str] = field(default_factory=dict)
@@ -57,22 +57,22 @@
 
 
 class HttpCaller(Struct, eq=False):
-    """Calls one server.
+    """Sends GET requests to one server.
 
     Attributes:
         loop: The event loop.
-        address: The server.
-        sock: The connection, or None.
-        connected: It has been made.
-        request: What is still to be sent.
-        answer: The answer under way, or the last one.
-        parser: Its parser.
-        timer: When the call is given up.
-        timeout_s: How long nothing may come, seconds.
-        ends_at: When it is given up in any case, seconds.
-        is_needed: Asked while the answer comes in.
-        on_done: Takes the answer.
-        on_failed: Takes the reason of a failure.
+        address: Address of the server.
+        sock: Socket of the connection, or None.
+        connected: Whether the connection has been established.
+        request: Bytes of the last request.
+        response: The response being received, or the last one.
+        parser: Parser of the response; None if no request is pending.
+        timer: Fails the request when it times out.
+        timeout_s: Longest time without data, seconds.
+        deadline: Latest end of the request by the loop's clock, seconds.
+        is_needed: Checked while the response is being received.
+        on_done: Called with status and body of the response.
+        on_failed: Called with the reason of a failure.
     """
 
     loop: Loop
@@ -80,19 +80,19 @@
     sock: socket.socket | None = None
     connected: bool = False
     request: bytes = b""
-    answer: _Answer = field(default_factory=_Answer)
+    response: _Response = field(default_factory=_Response)
     parser: httptools.HttpResponseParser | None = None
     timer: Timer | None = None
     timeout_s: float = 0.0
-    ends_at: float = 0.0
-    is_needed: IsNeeded = _always
+    deadline: float = 0.0
+    is_needed: IsNeeded = _always_needed
     on_done: OnDone | None = None
     on_failed: OnFailed | None = None
 
     @property
     def headers(self) -> dict[str, str]:
-        """Headers of the last answer, by their names in small letters."""
-        return self.answer.headers
+        """Headers of the last response, by their names in lower case."""
+        return self.response.headers
 
     def get(
         self,
@@ -100,71 +100,73 @@
         timeout_s: float,
         on_done: OnDone,
         on_failed: OnFailed,
-        most_s: float = 0.0,
-        is_needed: IsNeeded = _always,
+        total_timeout_s: float = 0.0,
+        is_needed: IsNeeded = _always_needed,
     ) -> None:
-        """Makes a call; none may be under way.
+        """Sends a request; no other may be pending.
 
         Args:
-            target: Path and query.
-            timeout_s: How long nothing may come, seconds.
-            on_done: Called with status and body.
-            on_failed: Called with the reason where none came.
-            most_s: How long the call may take while its answer comes in,
-                seconds; ``timeout_s`` where that is longer.
-            is_needed: Asked while the answer comes in; where it says no, the
-                call ends with ``NOT_NEEDED``.
+            target: Path and query of the URL.
+            timeout_s: Longest time without data, seconds.
+            on_done: Called with status and body of the response.
+            on_failed: Called with the reason if there is no response.
+            total_timeout_s: Longest time of the whole request while data
+                keeps arriving, seconds; ``timeout_s`` if that is longer.
+            is_needed: Checked while the response is being received; when it
+                returns False, the request fails with ``NOT_NEEDED``.
         """
         host, port = self.address
         head = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         self.request = head.encode()
         self.on_done = on_done
         self.on_failed = on_failed
-        self.answer = _Answer()
-        self.parser = httptools.HttpResponseParser(self.answer)
+        self.response = _Response()
+        self.parser = httptools.HttpResponseParser(self.response)
         self.timeout_s = timeout_s
-        self.ends_at = self.loop.clock() + max(timeout_s, most_s)
+        self.deadline = self.loop.clock() + max(timeout_s, total_timeout_s)
         self.is_needed = is_needed
         self._set_timer()
         self._connect()
 
     def _set_timer(self) -> None:
-        """Gives the call its time from now on, up to its end."""
+        """Restarts the timeout, limited by the deadline of the request."""
         if self.timer is not None:
             self.timer.cancel()
-        when = min(self.loop.clock() + self.timeout_s, self.ends_at)
+        when = min(self.loop.clock() + self.timeout_s, self.deadline)
         self.timer = self.loop.call_at(when, lambda: self._fail(NO_ANSWER))
 
     def _connect(self) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        _make_watchful(self.sock)
+        _enable_keepalive(self.sock)
         self.sock.setblocking(False)
         self.connected = False
-        failure = self.sock.connect_ex(self.address)
-        if failure not in (0, errno.EINPROGRESS):
-            self._fail(f"connect: errno {failure}")
+        error_number = self.sock.connect_ex(self.address)
+        if error_number not in (0, errno.EINPROGRESS):
+            self._fail(f"connect: errno {error_number}")
             return
         sock = self.sock
         self.loop.on_writable(sock, self._on_connected)
-        self.loop.call_later(CONNECT_S, lambda: self._check_connected(sock))
+        self.loop.call_later(
+            CONNECT_TIMEOUT_S, lambda: self._check_connected(sock)
+        )
 
     def _check_connected(self, sock: socket.socket) -> None:
         if self.sock is sock and not self.connected:
-            self._fail("no connection in time")
+            self._fail("no connection established in time")
 
     def _on_connected(self) -> None:
         if self.sock is None:
             return
-        failure = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if failure:
-            self._fail(f"connect: errno {failure}")
+        error_number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            self._fail(f"connect: errno {error_number}")
             return
         self.connected = True
         self.loop.on_readable(self.sock, self._read)
         self._write()
 
     def _write(self) -> None:
-        """Sends the request; it is far smaller than any send buffer."""
+        """Sends the request, which is far smaller than any send buffer."""
         if self.sock is None or not self.connected:
             return
         try:
@@ -183,14 +185,14 @@
             self._fail(f"receive: {error}")
             return
         if not data or self.parser is None:
-            self._fail("closed by the server")
+            self._fail("connection closed by the server")
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"no HTTP: {error}")
+            self._fail(f"invalid HTTP response: {error}")
             return
-        if self.answer.complete:
+        if self.response.complete:
             self._finish()
         elif not self.is_needed():
             self._fail(NOT_NEEDED)
@@ -199,20 +201,20 @@
 
     def _finish(self) -> None:
         parser, done = self.parser, self.on_done
-        self._end_call()
+        self._clear_request()
         if parser is None or done is None:
             return
         self._disconnect()
-        done(parser.get_status_code(), bytes(self.answer.body))
+        done(parser.get_status_code(), bytes(self.response.body))
 
     def _fail(self, reason: str) -> None:
         failed = self.on_failed
-        self._end_call()
+        self._clear_request()
         self._disconnect()
         if failed is not None:
             failed(reason)
 
-    def _end_call(self) -> None:
+    def _clear_request(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.on_done = self.on_failed = self.parser = None
@@ -225,12 +227,12 @@
         self.connected = False
 
 
-def _make_watchful(sock: socket.socket) -> None:
-    """Lets the kernel notice a peer that has gone without a word."""
+def _enable_keepalive(sock: socket.socket) -> None:
+    """Lets the kernel detect a peer that vanished without closing."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, PROBE_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, PROBE_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, PROBES)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/notchhoist/daemon/http_port.py
+++ b/notchhoist/daemon/http_port.py
@@ -1,4 +1,4 @@
-"""A port that answers small GET requests over HTTP/1.1, on the small loop."""
+"""HTTP/1.1 server for small GET requests, on the daemon's event loop."""
 
 import socket
 from collections.abc import Callable
@@ -10,11 +10,11 @@
 
 MAX_CONNECTIONS = 32
 MAX_REQUEST_BYTES = 8192
-IDLE_S = 10.0
-"""A silent connection is closed after this time, seconds."""
+IDLE_TIMEOUT_S = 10.0
+"""A connection without data for this time may be closed, seconds."""
 
 RECEIVE_BYTES = 65_536
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -23,11 +23,11 @@
 
 
 class Reply(Struct, frozen=True):
-    """An answer.
+    """An HTTP response.
 
     Attributes:
         status: HTTP status.
-        body: Its text.
+        body: Text of the body.
     """
 
     status: int
@@ -38,23 +38,23 @@
 
 
 def encode_reply(reply: Reply) -> bytes:
-    r"""Returns the bytes of an answer.
+    r"""Encodes a response.
 
     Examples:
         >>> encode_reply(Reply(503))
         b'HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n'
     """
     body = reply.body.encode()
-    reason = REASONS.get(reply.status, "")
+    reason = REASON_PHRASES.get(reply.status, "")
     head = f"HTTP/1.1 {reply.status} {reason}\r\nContent-Length: {len(body)}"
     return head.encode() + b"\r\n\r\n" + body
 
 
 class _Connection(Struct, eq=False):
-    """One connection; the parser calls the ``on_`` methods."""
+    """State of one connection; the parser calls its ``on_`` methods."""
 
     sock: socket.socket
-    last_at: float
+    last_read_at: float
     received: int = 0
     path: bytes = b""
     paths: list[str] = field(default_factory=list)
@@ -71,13 +71,13 @@
 
 
 class HttpPort(Struct, eq=False):
-    """Answers requests at one address.
+    """Listens at one address and responds to requests.
 
     Attributes:
         loop: The event loop.
         listener: The listening socket.
-        handler: Returns the answer for a path.
-        open: The open connections, with the parser of each.
+        handler: Returns the response for a path.
+        open: The parser of each open connection.
     """
 
     loop: Loop
@@ -88,11 +88,11 @@
     )
 
     def accept(self) -> None:
-        """Takes a new connection."""
+        """Accepts a new connection."""
         try:
             sock, _ = self.listener.accept()
         except OSError:
-            return  # It was broken off before it was taken.
+            return  # The client reset the connection before it was accepted.
         sock.setblocking(False)
         now = self.loop.clock()
         if len(self.open) >= MAX_CONNECTIONS:
@@ -102,14 +102,18 @@
         self.loop.on_readable(sock, lambda: self._read(connection))
 
     def _close_idle(self, now: float) -> None:
-        """Makes room; the oldest goes where none is idle."""
-        idle = [item for item in self.open if now - item.last_at > IDLE_S]
-        oldest = min(self.open, key=lambda item: item.last_at)
-        for connection in idle or [oldest]:
+        """Closes all idle connections, or the least recently read one."""
+        idle = [
+            item
+            for item in self.open
+            if now - item.last_read_at > IDLE_TIMEOUT_S
+        ]
+        least_recent = min(self.open, key=lambda item: item.last_read_at)
+        for connection in idle or [least_recent]:
             self._close(connection)
 
     def _read(self, connection: _Connection) -> None:
-        connection.last_at = self.loop.clock()
+        connection.last_read_at = self.loop.clock()
         try:
             data = connection.sock.recv(RECEIVE_BYTES)
             connection.received += len(data)
@@ -122,7 +126,7 @@
                 connection.sock.sendall(reply)
             connection.paths.clear()
         except BlockingIOError:
-            # The reader does not keep up: it must ask again.
+            # The client reads too slowly: it has to repeat the request.
             self._close(connection)
         except (OSError, httptools.HttpParserError):
             self._close(connection)
@@ -136,7 +140,7 @@
 def open_http_port(
     loop: Loop, address: tuple[str, int], handler: Handler
 ) -> HttpPort:
-    """Listens at an address.
+    """Opens a server that listens at an address.
 
     Raises:
         OSError: The address cannot be bound.
--- a/notchhoist/daemon/journal.py
+++ b/notchhoist/daemon/journal.py
@@ -1,4 +1,4 @@
-"""Logs: JSON lines by eliot, bounded so that a storm cannot fill them."""
+"""Logs: JSON lines by eliot, bounded so that bursts cannot flood them."""
 
 from typing import IO
 
@@ -10,15 +10,15 @@
 from notchhoist.daemon.runtime import Runtime
 from notchhoist.daemon.settings import Settings
 
-PERIOD_S = 5.0
-"""Counters are logged as one line of differences this often, seconds."""
+LOG_PERIOD_S = 5.0
+"""Time between two log lines with the changes of the counters, seconds."""
 
-DECISIONS_A_PERIOD = 50
-"""Most decisions logged in one period; refusals go before answers."""
+MAX_DECISIONS_PER_PERIOD = 50
+"""Most decisions logged in one period; refusals precede answers."""
 
 
 def open_journal(file: IO[str]) -> None:
-    """Sends all logs to a file, one JSON object a line."""
+    """Writes all logs to a file, one JSON object per line."""
     eliot.to_file(file)
 
 
@@ -28,40 +28,40 @@
 
 
 @attrs.define
-class _Seen:
+class _LoggedState:
     counters: dict[Count, int] = attrs.Factory(dict)
     decided: int = 0
     revision: int = 0
     refused: str = ""
 
 
-async def keep_journal(runtime: Runtime) -> None:
-    """Logs, at a bounded rate, what changed at a daemon."""
-    seen = _Seen()
+async def run_journal(runtime: Runtime) -> None:
+    """Logs decisions and changes of configuration and counters periodically."""
+    logged = _LoggedState()
     eliot.log_message(
         message_type="start",
         host=runtime.settings.name,
         role=runtime.settings.role.value,
     )
     while True:
-        _log_configuration(runtime, seen)
-        _log_counters(runtime, seen)
-        _log_decisions(runtime, seen)
-        await anyio.sleep(PERIOD_S)
+        _log_configuration(runtime, logged)
+        _log_counters(runtime, logged)
+        _log_decisions(runtime, logged)
+        await anyio.sleep(LOG_PERIOD_S)
 
 
-def _log_configuration(runtime: Runtime, seen: _Seen) -> None:
+def _log_configuration(runtime: Runtime, logged: _LoggedState) -> None:
     config = runtime.node.board.config
-    if config.store.revision != seen.revision:
-        seen.revision = config.store.revision
+    if config.store.revision != logged.revision:
+        logged.revision = config.store.revision
         eliot.log_message(
             message_type="configuration",
             host=runtime.settings.name,
-            revision=seen.revision,
+            revision=logged.revision,
         )
     refused = str(config.refused) if config.refused else ""
-    if refused != seen.refused:
-        seen.refused = refused
+    if refused != logged.refused:
+        logged.refused = refused
         eliot.log_message(
             message_type="configuration_refused",
             host=runtime.settings.name,
@@ -69,14 +69,14 @@
         )
 
 
-def _log_counters(runtime: Runtime, seen: _Seen) -> None:
+def _log_counters(runtime: Runtime, logged: _LoggedState) -> None:
     counters = dict(runtime.node.board.counters)
     changed = {
-        name.value: count - seen.counters.get(name, 0)
+        name.value: count - logged.counters.get(name, 0)
         for name, count in counters.items()
-        if count != seen.counters.get(name, 0)
+        if count != logged.counters.get(name, 0)
     }
-    seen.counters = counters
+    logged.counters = counters
     if changed:
         eliot.log_message(
             message_type="counters",
@@ -85,15 +85,17 @@
         )
 
 
-def _log_decisions(runtime: Runtime, seen: _Seen) -> None:
-    """Logs a bounded sample of decisions, those with a reason first."""
+def _log_decisions(runtime: Runtime, logged: _LoggedState) -> None:
+    """Logs a bounded sample of decisions, preferring those with a reason."""
     board = runtime.node.board
     if not isinstance(board, AgentBoard):
         return
-    fresh = [item for item in board.decisions if item.number > seen.decided]
-    total = board.decided - seen.decided
-    seen.decided = board.decided
-    sample = choose_decisions(fresh)
+    new_decisions = [
+        item for item in board.decisions if item.number > logged.decided
+    ]
+    total = board.decided - logged.decided
+    logged.decided = board.decided
+    sample = choose_decisions(new_decisions)
     for decision in sample:
         eliot.log_message(
             message_type="request",
@@ -108,7 +110,12 @@
         )
 
 
-def choose_decisions(fresh: list[Decision]) -> list[Decision]:
-    """Returns the decisions to log, at most ``DECISIONS_A_PERIOD``."""
-    by_need = sorted(fresh, key=lambda item: (not item.reason, item.number))
-    return by_need[:DECISIONS_A_PERIOD]
+def choose_decisions(new_decisions: list[Decision]) -> list[Decision]:
+    """Returns the decisions to log, at most ``MAX_DECISIONS_PER_PERIOD``.
+
+    Decisions with a reason, such as refusals, precede the others.
+    """
+    prioritized = sorted(
+        new_decisions, key=lambda item: (not item.reason, item.number)
+    )
+    return prioritized[:MAX_DECISIONS_PER_PERIOD]
--- a/notchhoist/daemon/lean_imports.py
+++ b/notchhoist/daemon/lean_imports.py
@@ -1,42 +1,42 @@
-"""Loads ``msgspec`` without what it needs only for types that we do not use.
-
-The library looks up the classes of ``uuid`` and ``decimal`` when it is loaded,
-and keeps ``textwrap`` for schemas. ``uuid`` brings ``platform``, and both that
-and ``textwrap`` compile regular expressions. Without them a daemon's modules
-load in 80 ms instead of 95 (medians of whole processes, 15 each, on a busy
-machine; the interpreter alone takes 12). On a host with 0.038 of a core that is
-0.3 s after each start. Stand-ins take their places while ``msgspec`` is loaded;
-whoever imports the real modules later gets them.
+"""Loads ``msgspec`` without modules that it needs only for unused types.
+
+The library looks up classes of ``uuid`` and ``decimal`` when it is loaded, and
+imports ``textwrap`` for schemas. ``uuid`` imports ``platform``, and both
+``platform`` and ``textwrap`` compile regular expressions. Without these modules
+a daemon's process loads in 80 ms instead of 95 ms (medians of 15 processes on a
+busy machine), of which the interpreter alone takes 12 ms. On a host with 0.038
+of a core this saves 0.3 s per start. Placeholder modules replace them while
+``msgspec`` is loaded; later imports get the real modules.
 """
 
 import sys
 from types import ModuleType
 
 
-class _Unused:
-    """Stands for a class whose values never occur in our messages."""
+class _PlaceholderClass:
+    """Placeholder for a class whose values never occur in messages."""
 
     unknown = None
 
 
-STAND_INS = {
+PLACEHOLDERS = {
     "uuid": ("UUID", "SafeUUID"),
     "decimal": ("Decimal",),
     "textwrap": (),
 }
-"""Modules that are left out, with the classes that are looked up in them."""
+"""Modules that are replaced, with the classes looked up in each."""
 
 
 def load_msgspec() -> None:
-    """Loads ``msgspec``, unless somebody has loaded it already."""
+    """Loads ``msgspec``, unless it is loaded already."""
     if "msgspec" in sys.modules:
         return
-    missing = [name for name in STAND_INS if name not in sys.modules]
+    missing = [name for name in PLACEHOLDERS if name not in sys.modules]
     for name in missing:
-        stand_in = ModuleType(name)
-        for attribute in STAND_INS[name]:
-            setattr(stand_in, attribute, _Unused)
-        sys.modules[name] = stand_in
+        placeholder = ModuleType(name)
+        for attribute in PLACEHOLDERS[name]:
+            setattr(placeholder, attribute, _PlaceholderClass)
+        sys.modules[name] = placeholder
     try:
         import msgspec  # noqa: F401
     finally:
--- a/notchhoist/daemon/loop.py
+++ b/notchhoist/daemon/loop.py
@@ -1,9 +1,9 @@
-"""A small event loop for the packets of opaque flows.
+"""Minimal event loop for daemons that balance opaque flows.
 
-``anyio`` with its asyncio backend takes 0.1 s of processor time and 10 MB to
-load, which the platform's hosts feel after every restart (see
-docs/DECISIONS/08-start-up.md); the standard library's ``selectors`` takes
-neither.
+Loading ``anyio`` with its asyncio backend takes 0.1 s of processor time and
+10 MB, which delays each restart on the platform's hosts (see
+docs/DECISIONS/08-start-up.md). The standard library's ``selectors`` module
+takes neither.
 """
 
 import heapq
@@ -22,30 +22,30 @@
 
 
 class Timer(Struct, eq=False):
-    """Something that is to happen.
+    """A scheduled call.
 
     Attributes:
-        when: Runtime clock, seconds.
-        callback: What to call, or None once cancelled.
+        when: Time of the call by the loop's clock, seconds.
+        callback: Function to call, or None after ``cancel``.
     """
 
     when: float
     callback: Callback | None
 
     def cancel(self) -> None:
-        """Keeps it from happening."""
+        """Cancels the call."""
         self.callback = None
 
 
 class Loop(Struct, eq=False):
-    """Calls back when sockets are ready and when time has come.
+    """Calls functions when sockets are ready and when timers are due.
 
     Attributes:
-        clock: The runtime's clock.
-        selector: Watches the sockets.
-        timers: What is to happen, by time.
-        numbers: Order of what happens at the same time.
-        running: ``stop`` has not been called.
+        clock: Returns the time, seconds.
+        selector: Selector with the callback of each socket.
+        timers: Heap of the timers, by time and sequence number.
+        sequence: Numbers that order timers of the same time.
+        running: Whether ``run`` continues; False after ``stop``.
     """
 
     clock: Clock
@@ -53,15 +53,15 @@
         default_factory=selectors.DefaultSelector
     )
     timers: list[tuple[float, int, Timer]] = field(default_factory=list)
-    numbers: "itertools.count[int]" = field(default_factory=itertools.count)
+    sequence: "itertools.count[int]" = field(default_factory=itertools.count)
     running: bool = True
 
     def on_readable(self, sock: socket.socket, callback: Callback) -> None:
-        """Calls back whenever a socket can be read."""
+        """Calls a function whenever a socket is readable."""
         self._watch(sock, _READ, callback)
 
     def on_writable(self, sock: socket.socket, callback: Callback) -> None:
-        """Calls back whenever a socket can be written or has failed."""
+        """Calls a function whenever a socket is writable or has failed."""
         self._watch(sock, _WRITE, callback)
 
     def _watch(
@@ -71,38 +71,38 @@
         self.selector.register(sock, events, callback)
 
     def forget(self, sock: socket.socket) -> None:
-        """Watches a socket no longer."""
+        """Removes the callback of a socket, if there is one."""
         try:
             self.selector.unregister(sock)
         except (KeyError, ValueError):
-            return  # It is not watched, which is what was asked for.
+            return  # The socket has no callback.
 
     def call_at(self, when: float, callback: Callback) -> Timer:
-        """Calls back at a time."""
+        """Schedules a call at a time by the loop's clock, seconds."""
         timer = Timer(when, callback)
-        heapq.heappush(self.timers, (when, next(self.numbers), timer))
+        heapq.heappush(self.timers, (when, next(self.sequence), timer))
         return timer
 
     def call_later(self, delay: float, callback: Callback) -> Timer:
-        """Calls back after a delay, seconds."""
+        """Schedules a call after a delay, seconds."""
         return self.call_at(self.clock() + delay, callback)
 
     def stop(self) -> None:
-        """Lets ``run`` return."""
+        """Makes ``run`` return after the current iteration."""
         self.running = False
 
     def run(self) -> None:
-        """Runs until it is stopped."""
+        """Runs the loop until ``stop`` is called."""
         while self.running:
             self.turn()
 
     def turn(self) -> None:
-        """Waits for the next thing to happen and lets it.
+        """Runs one iteration: waits for sockets or timers and calls them.
 
-        Sockets come before timers: after a pause of the process, answers that
-        wait must be read before anybody's silence is judged.
+        Sockets precede timers: after a stall of the process, answers that
+        wait in the sockets must be read before timeouts are evaluated.
         """
-        for key, _ in self.selector.select(self._wait()):
+        for key, _ in self.selector.select(self._select_timeout()):
             key.data()
         now = self.clock()
         while self.timers and self.timers[0][0] <= now:
@@ -110,7 +110,7 @@
             if callback is not None:
                 callback()
 
-    def _wait(self) -> float | None:
+    def _select_timeout(self) -> float | None:
         while self.timers and self.timers[0][2].callback is None:
             heapq.heappop(self.timers)
         if not self.timers:
--- a/notchhoist/daemon/main.py
+++ b/notchhoist/daemon/main.py
@@ -1,4 +1,4 @@
-"""``notchhoistd``: the daemon."""
+"""Entry point of ``notchhoistd``, the daemon for CoAP traffic."""
 
 import random
 import secrets
@@ -21,7 +21,8 @@
 
 EXIT_BAD_SETTINGS = 2
 EXIT_CANNOT_BIND = 3
-START_SPREAD_S = 0.2
+START_JITTER_S = 0.2
+"""Daemons start up to this much apart, by a delay drawn from their name."""
 
 
 @cappa.command(
@@ -46,14 +47,14 @@
 
 
 def make_node(settings: Settings, now: float) -> controllers.Node:
-    """Makes the decisions for a daemon's role.
+    """Creates the node that makes the decisions of a daemon's role.
 
     Args:
         settings: The daemon's settings.
-        now: Runtime clock, seconds.
+        now: Time by the runtime's clock, seconds.
 
     Returns:
-        A balancer's or an agent's node.
+        The node of a balancer or an agent.
     """
     seed = settings.seed or secrets.randbits(60)
     if settings.role is Role.BALANCER:
@@ -81,12 +82,12 @@
 
 
 async def run(settings: Settings) -> None:
-    """Runs a daemon until it is told to stop.
+    """Runs a daemon until SIGTERM or SIGINT stops it.
 
     Args:
         settings: The daemon's settings.
     """
-    await anyio.sleep(random.Random(settings.name).uniform(0, START_SPREAD_S))
+    await anyio.sleep(random.Random(settings.name).uniform(0, START_JITTER_S))
     port = open_udp(settings.peer)
     async with (
         publication.open_http_platform(settings.platform) as source,
@@ -105,12 +106,12 @@
         tasks.start_soon(runtime.peers.serve_tcp)
         tasks.start_soon(serve_operator, runtime, settings.operator)
         tasks.start_soon(runtime.tick_forever)
-        tasks.start_soon(runtime.keep_restored)
-        tasks.start_soon(journal.keep_journal, runtime)
-        tasks.start_soon(_stop_on_signal, runtime)
+        tasks.start_soon(runtime.restore_periodically)
+        tasks.start_soon(journal.run_journal, runtime)
+        tasks.start_soon(_stop_on_signals, runtime)
 
 
-async def _stop_on_signal(runtime: Runtime) -> None:
+async def _stop_on_signals(runtime: Runtime) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             journal.log_stop(runtime.settings)
@@ -137,7 +138,7 @@
 
 
 def main() -> None:
-    """Entry point of ``notchhoistd``."""
+    """Runs the command line and exits with its status."""
     sys.exit(_execute(cappa.parse(Command)))
 
 
--- a/notchhoist/daemon/metrics.py
+++ b/notchhoist/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format that monitoring tools scrape."""
+"""Metrics in the Prometheus text format."""
 
 from collections.abc import Iterator
 
@@ -13,18 +13,19 @@
 from notchhoist import blackboards
 from notchhoist.daemon.runtime import Runtime
 
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
-MICROSECONDS = 1e6
+QUANTILES_PERCENT = (50.0, 90.0, 99.0, 99.9)
+"""Published quantiles of the latency, percent."""
+MICROSECONDS_PER_S = 1e6
 
 
 class _BoardCollector:
-    """Reads the metrics off a blackboard when they are asked for."""
+    """Collects the metrics of a blackboard on each scrape."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
 
     def collect(self) -> Iterator[Metric]:
-        """Yields every metric."""
+        """Yields all metrics of the daemon."""
         board = self.runtime.node.board
         yield from _counters(board)
         yield GaugeMetricFamily(
@@ -81,17 +82,19 @@
     )
     for kind, histogram in board.latencies.items():
         count = histogram.get_total_count()
-        total = histogram.get_mean_value() * count / MICROSECONDS
+        total = histogram.get_mean_value() * count / MICROSECONDS_PER_S
         family.add_metric([kind], count, total)
-        for quantile in QUANTILES:
-            value = histogram.get_value_at_percentile(quantile) / MICROSECONDS
+        for quantile in QUANTILES_PERCENT:
+            value = (
+                histogram.get_value_at_percentile(quantile) / MICROSECONDS_PER_S
+            )
             quantiles.add_metric([kind, str(quantile / 100)], value)
     yield family
     yield quantiles
 
 
 def metrics_text(runtime: Runtime) -> str:
-    """Returns all metrics of a daemon as text."""
+    """Returns all metrics of a daemon in the text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_BoardCollector(runtime))
     return generate_latest(registry).decode()
--- a/notchhoist/daemon/operator.py
+++ b/notchhoist/daemon/operator.py
@@ -1,6 +1,6 @@
-"""The operator port: state dump, metrics and health over HTTP.
+"""Operator port: serves state dump, metrics and health over HTTP.
 
-Every request shows the key of the settings as a bearer token.
+Every request must carry the operator key of the settings as a bearer token.
 """
 
 import hmac
@@ -21,17 +21,17 @@
 from notchhoist.daemon.metrics import metrics_text
 from notchhoist.daemon.runtime import Runtime
 
-MAX_PAGE = 1000
-DEFAULT_PAGE = 100
+MAX_PAGE_ENTRIES = 1000
+DEFAULT_PAGE_ENTRIES = 100
 
 
 @attrs.frozen
-class Refused:
-    """A typed refusal of an operator's request.
+class RefusalBody:
+    """Error body of a refused request.
 
     Attributes:
-        error: Type of the refusal.
-        expected: What would have been accepted.
+        error: Type of the error.
+        expected: What the request should have contained.
     """
 
     error: str
@@ -42,7 +42,7 @@
 
 
 def make_app(runtime: Runtime) -> Starlette:
-    """Makes the HTTP application of the operator port."""
+    """Creates the HTTP application of the operator port."""
     key = runtime.settings.operator_key
 
     async def dump(request: Request) -> Response:
@@ -56,24 +56,24 @@
 
     return Starlette(
         routes=[
-            Route("/dump/{section}", _guarded(key, dump)),
-            Route("/metrics", _guarded(key, metrics)),
-            Route("/health", _guarded(key, health)),
+            Route("/dump/{section}", _require_key(key, dump)),
+            Route("/metrics", _require_key(key, metrics)),
+            Route("/health", _require_key(key, health)),
         ]
     )
 
 
 @attrs.frozen
 class Health:
-    """What a daemon says of itself in one line.
+    """Health summary of a daemon.
 
     Attributes:
-        name: Name of its host.
-        role: Its role.
-        zone: Its availability zone.
+        name: Name of the daemon's host.
+        role: Role of the daemon.
+        zone: Availability zone of the host.
         revision: Configuration revision in force.
-        refused: Why the last refused document was refused, or empty.
-        stopping: A planned stop has begun.
+        refused: Why the last configuration was refused, or empty.
+        stopping: Whether a planned stop has begun.
     """
 
     name: str
@@ -98,12 +98,16 @@
     )
 
 
-def _guarded(key: str, handler: Handler) -> Handler:
+def _require_key(key: str, handler: Handler) -> Handler:
     async def guarded(request: Request) -> Response:
-        shown = request.headers.get("authorization", "")
-        if not hmac.compare_digest(shown.encode(), f"Bearer {key}".encode()):
-            refused = Refused("operator_key_refused", "Bearer and the key")
-            return _refusal(refused, HTTPStatus.UNAUTHORIZED)
+        presented = request.headers.get("authorization", "")
+        if not hmac.compare_digest(
+            presented.encode(), f"Bearer {key}".encode()
+        ):
+            refusal = RefusalBody(
+                "operator_key_refused", "Bearer and the operator key"
+            )
+            return _refusal_response(refusal, HTTPStatus.UNAUTHORIZED)
         return await handler(request)
 
     return guarded
@@ -113,31 +117,37 @@
     return Response(to_json(value), status, media_type="application/json")
 
 
-def _refusal(refused: Refused, status: HTTPStatus) -> Response:
-    return _json(documents.unstructure(refused), status)
+def _refusal_response(refusal: RefusalBody, status: HTTPStatus) -> Response:
+    return _json(documents.unstructure(refusal), status)
 
 
 def _dump(runtime: Runtime, request: Request) -> Response:
-    offset = _number(request, "offset", 0, 1 << 40)
-    limit = _number(request, "limit", DEFAULT_PAGE, MAX_PAGE)
+    offset = _parse_number(request, "offset", 0, 1 << 40)
+    limit = _parse_number(
+        request, "limit", DEFAULT_PAGE_ENTRIES, MAX_PAGE_ENTRIES
+    )
     if offset is None or limit is None:
-        refused = Refused("bad_page", f"offset >= 0, limit 0 to {MAX_PAGE}")
-        return _refusal(refused, HTTPStatus.BAD_REQUEST)
+        refusal = RefusalBody(
+            "bad_page", f"offset >= 0, limit 0 to {MAX_PAGE_ENTRIES}"
+        )
+        return _refusal_response(refusal, HTTPStatus.BAD_REQUEST)
     try:
         page = dump_section(
             runtime.node.board, request.path_params["section"], offset, limit
         )
     except DumpRefusedError as error:
-        refused = Refused("unknown_section", error.expected)
-        return _refusal(refused, HTTPStatus.NOT_FOUND)
+        refusal = RefusalBody("unknown_section", error.expected)
+        return _refusal_response(refusal, HTTPStatus.NOT_FOUND)
     return _json(page)
 
 
-def _number(request: Request, name: str, default: int, most: int) -> int | None:
+def _parse_number(
+    request: Request, name: str, default: int, maximum: int
+) -> int | None:
     text = request.query_params.get(name)
     if text is None:
         return default
-    if not text.isdecimal() or int(text) > most:
+    if not text.isdecimal() or int(text) > maximum:
         return None
     return int(text)
 
--- a/notchhoist/daemon/peers.py
+++ b/notchhoist/daemon/peers.py
@@ -1,4 +1,4 @@
-"""Messages between processes: UDP, and TCP for what exceeds a datagram."""
+"""Messages between processes: UDP, or TCP for messages too long for UDP."""
 
 from collections.abc import Callable
 
@@ -10,11 +10,11 @@
 from notchhoist.daemon.sockets import UdpPort
 
 MAX_UDP_BYTES = 1400
-"""Longest message sent as one datagram, bytes."""
+"""Longest message that is sent as a UDP datagram, bytes."""
 
 MAX_TCP_BYTES = 4 << 20
 TCP_TIMEOUT_S = 3.0
-MAX_TCP_TASKS = 64
+MAX_TCP_SENDS = 64
 
 OnMessage = Callable[[wire.Envelope], None]
 
@@ -24,14 +24,14 @@
     """Sends and receives the messages of one process.
 
     Attributes:
-        own: The process's peer endpoint.
-        port: Its UDP port.
-        tasks: Where sending over TCP runs.
-        on_message: Takes each message.
-        on_malformed: Called for bytes that are no message.
-        sending: How many messages are being sent over TCP.
-        sent_bytes: Bytes sent so far.
-        received_bytes: Bytes received so far.
+        own: Peer endpoint of this process.
+        port: UDP port of that endpoint.
+        tasks: Task group in which messages are sent over TCP.
+        on_message: Called with each message received.
+        on_malformed: Called when a message cannot be decoded.
+        tcp_sends: Number of messages that are being sent over TCP.
+        sent_bytes: Bytes sent since the start.
+        received_bytes: Bytes received since the start.
     """
 
     own: model.Endpoint
@@ -39,18 +39,18 @@
     tasks: anyio.abc.TaskGroup
     on_message: OnMessage
     on_malformed: Callable[[], None]
-    sending: int = 0
+    tcp_sends: int = 0
     sent_bytes: int = 0
     received_bytes: int = 0
 
     def send(self, to: model.Endpoint, message: model.Message) -> None:
-        """Sends a message; it may be lost."""
+        """Sends a message, without a guarantee that it arrives."""
         data = wire.encode_peer(wire.Envelope(self.own, message))
         self.sent_bytes += len(data)
         if len(data) <= MAX_UDP_BYTES:
             self.port.send(data, to)
-        elif self.sending < MAX_TCP_TASKS:
-            self.sending += 1
+        elif self.tcp_sends < MAX_TCP_SENDS:
+            self.tcp_sends += 1
             self.tasks.start_soon(self._send_tcp, to, data)
 
     async def _send_tcp(self, to: model.Endpoint, data: bytes) -> None:
@@ -61,13 +61,13 @@
         except OSError:
             return
         finally:
-            self.sending -= 1
+            self.tcp_sends -= 1
 
     def on_datagram(self, data: bytes, _: model.Endpoint) -> None:
-        """Takes a datagram."""
-        self._take(data)
+        """Decodes a datagram and passes on its message."""
+        self._decode(data)
 
-    def _take(self, data: bytes) -> None:
+    def _decode(self, data: bytes) -> None:
         self.received_bytes += len(data)
         try:
             envelope = wire.decode_peer(data)
@@ -77,7 +77,7 @@
         self.on_message(envelope)
 
     async def serve_tcp(self) -> None:
-        """Takes messages over TCP, one a connection."""
+        """Accepts TCP connections, each of which carries one message."""
         listener = await anyio.create_tcp_listener(
             local_host=self.own.host, local_port=self.own.port
         )
@@ -98,4 +98,4 @@
         if scope.cancelled_caught:
             self.on_malformed()
             return
-        self._take(bytes(data))
+        self._decode(bytes(data))
--- a/notchhoist/daemon/port_check.py
+++ b/notchhoist/daemon/port_check.py
@@ -1,4 +1,4 @@
-"""Finds out whether anybody listens at an address."""
+"""Checks whether a process listens at an address."""
 
 import errno
 import socket
@@ -8,17 +8,17 @@
 from notchhoist.flows.model.effects import ConnectResult
 
 BACKEND_WAIT_S = 0.3
-"""A backend server on the same host accepts a connection within this time."""
+"""A backend server on this host accepts connections in this time, seconds."""
 
 HOST_WAIT_S = 0.25
-"""Another host that has power answers within this time, seconds; a round trip
-between zones takes 3 ms, on a thin host 20 ms with its share of a core."""
+"""Another host that is up answers within this time, seconds. A round trip
+between zones takes 3 ms, or 20 ms if the host has little CPU."""
 
-PACKET_WAIT_S = 0.02
+REFUSAL_TIMEOUT_S = 0.02
 """The kernel refuses a packet to a closed port of this host within this time,
 seconds."""
 
-_REFUSALS = (errno.ECONNREFUSED, errno.ECONNRESET)
+_REFUSED_ERRORS = (errno.ECONNREFUSED, errno.ECONNRESET)
 
 
 def check_port(
@@ -27,31 +27,31 @@
     wait_s: float,
     on_checked: Callable[[ConnectResult], None],
 ) -> None:
-    """Tries to connect once and closes the connection at once.
+    """Attempts one TCP connection, which is closed immediately.
 
     Args:
         loop: The event loop.
-        address: Where to connect to.
-        wait_s: How long to wait, seconds.
-        on_checked: Takes the outcome.
+        address: Address to connect to.
+        wait_s: Timeout of the attempt, seconds.
+        on_checked: Called with the result.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
-    at_once = sock.connect_ex(address)
+    immediate_error = sock.connect_ex(address)
 
-    def end(reach: ConnectResult) -> None:
+    def finish(result: ConnectResult) -> None:
         timer.cancel()
         loop.forget(sock)
         sock.close()
-        on_checked(reach)
+        on_checked(result)
 
     def on_connected() -> None:
-        end(_reach(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)))
+        finish(_to_result(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)))
 
-    timer = loop.call_later(wait_s, lambda: end(ConnectResult.SILENT))
-    if at_once in _REFUSALS:
+    timer = loop.call_later(wait_s, lambda: finish(ConnectResult.SILENT))
+    if immediate_error in _REFUSED_ERRORS:
         timer.cancel()
-        timer = loop.call_later(0.0, lambda: end(ConnectResult.REFUSED))
+        timer = loop.call_later(0.0, lambda: finish(ConnectResult.REFUSED))
     else:
         loop.on_writable(sock, on_connected)
 
@@ -62,42 +62,48 @@
     packet: bytes,
     on_checked: Callable[[ConnectResult], None],
 ) -> None:
-    """Sends one packet and finds out whether the kernel refuses it.
+    """Sends one UDP packet and checks whether the kernel refuses it.
 
     Args:
         loop: The event loop.
-        address: Where to send it to, on this host.
-        packet: The packet.
-        on_checked: Takes the outcome; silence says nothing.
+        address: Destination, an address of this host.
+        packet: Payload of the packet.
+        on_checked: Called with the result; ``SILENT`` is inconclusive.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
 
-    def end(reach: ConnectResult) -> None:
+    def finish(result: ConnectResult) -> None:
         timer.cancel()
         loop.forget(sock)
         sock.close()
-        on_checked(reach)
+        on_checked(result)
 
     def on_readable() -> None:
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        end(
+        finish(
             ConnectResult.REFUSED
-            if error in _REFUSALS
+            if error in _REFUSED_ERRORS
             else ConnectResult.SILENT
         )
 
-    timer = loop.call_later(PACKET_WAIT_S, lambda: end(ConnectResult.SILENT))
+    timer = loop.call_later(
+        REFUSAL_TIMEOUT_S, lambda: finish(ConnectResult.SILENT)
+    )
     try:
         sock.connect(address)
         sock.send(packet)
     except OSError:
-        return  # The timer says that nothing was found out.
+        return  # The timer reports that the check was inconclusive.
     loop.on_readable(sock, on_readable)
 
 
-def _reach(error: int) -> ConnectResult:
-    """Returns what a connection's error number tells."""
+def _to_result(error: int) -> ConnectResult:
+    """Converts the error number of a connection attempt."""
     if not error:
         return ConnectResult.ACCEPTED
-    return ConnectResult.REFUSED if error in _REFUSALS else ConnectResult.SILENT
+    return (
+        ConnectResult.REFUSED
+        if error in _REFUSED_ERRORS
+        else ConnectResult.SILENT
+    )
--- a/notchhoist/daemon/ports.py
+++ b/notchhoist/daemon/ports.py
@@ -1,4 +1,4 @@
-"""The sockets of a daemon, and what leaves through them as the link allows."""
+"""Sockets of a daemon, with sending paced to the rate of the link."""
 
 import enum
 import socket
@@ -11,13 +11,13 @@
 from notchhoist.links.packets import Address, Outgoing
 from notchhoist.links.scheduler import LinkScheduler
 
-MIN_WAIT_S = 0.005
-"""Least time between two looks at the backlog, seconds; a wake-up costs
-processor time, and the link holds 0.02 s of what was sent before."""
+MIN_SEND_INTERVAL_S = 0.005
+"""Shortest time between two sends from the backlog, seconds. A wake-up costs
+processor time, and the link's own queue holds 0.02 s of earlier datagrams."""
 
 
 class Port(enum.IntEnum):
-    """What a socket is for.
+    """Purpose of a socket.
 
     Attributes:
         PACKETS: Callers' packets (balancer) or the backend server's (agent).
@@ -31,14 +31,14 @@
 
 
 class Ports(Struct, eq=False):
-    """Sends datagrams, no more at a time than the link carries.
+    """Sends datagrams no faster than the link carries them.
 
     Attributes:
         loop: The event loop.
         sockets: The sockets, by ``Port``.
-        link: Decides what leaves now.
-        records: Counts how long datagrams waited.
-        timer: The next look at what waits.
+        link: Decides which datagrams are sent now.
+        records: Records how long datagrams waited.
+        timer: Next send from the backlog.
     """
 
     loop: Loop
@@ -55,7 +55,7 @@
         flow: bytes = b"",
         seq: int = 0,
     ) -> None:
-        """Sends a datagram to another host, now or in its turn."""
+        """Sends a datagram to another host, at once or from the backlog."""
         if not self.link.rate:
             datagrams.send(self.sockets[port], datagram, to)
             return
@@ -69,7 +69,7 @@
     def _schedule(self, now: float) -> None:
         if self.timer.callback is not None or not self.link.waiting:
             return
-        when = max(self.link.due(), now + MIN_WAIT_S)
+        when = max(self.link.due(), now + MIN_SEND_INTERVAL_S)
         self.timer = self.loop.call_at(when, self._send_waiting)
 
     def _send_waiting(self) -> None:
--- a/notchhoist/daemon/runtime.py
+++ b/notchhoist/daemon/runtime.py
@@ -1,4 +1,4 @@
-"""The runtime of a daemon: it drives a node with sockets and the clock."""
+"""Runtime of a daemon: connects a node with sockets and the clock."""
 
 import anyio
 import anyio.abc
@@ -10,28 +10,28 @@
 from notchhoist.daemon.settings import Role, Settings
 from notchhoist.daemon.sockets import UdpPort, open_flow, open_udp
 
-PAUSE_S = 1.0
-"""A gap between ticks that is longer means that the process was stopped."""
+STALL_THRESHOLD_S = 1.0
+"""A longer gap between ticks means that the process was stalled."""
 
 STOP_POLL_S = 0.05
-RESTART_WAIT_S = 0.5
+RESTORE_INTERVAL_S = 0.5
 
 
 @attrs.define(eq=False)
 class Runtime:
-    """Carries out the effects of a node and feeds it events.
+    """Performs the effects of a node and passes events to it.
 
     Attributes:
         settings: The daemon's settings.
-        node: The decisions.
-        source: The platform.
-        tasks: Where everything runs.
-        peers: Messages between processes.
-        listeners: Balancer: the port of each service.
-        flows: Agent: the socket of each flow.
-        listening_at: Revision that the listeners follow.
-        last_tick: Runtime clock of the last tick, seconds.
-        stopped: Set at the end of a planned stop.
+        node: Decides what to do on each event.
+        source: The platform, from which the configuration is read.
+        tasks: Task group in which all tasks of the daemon run.
+        peers: Transport for messages between processes.
+        listeners: Balancer only: the UDP port of each service.
+        flows: Agent only: the socket of each flow, by its caller.
+        listener_revision: Configuration revision that the listeners match.
+        last_tick: Time of the last tick by the runtime's clock, seconds.
+        stopped: Set at the end of a planned stop, after the drain.
     """
 
     settings: Settings
@@ -41,18 +41,18 @@
     peers: PeerTransport = attrs.field(init=False)
     listeners: dict[str, UdpPort] = attrs.Factory(dict)
     flows: dict[model.Endpoint, UdpPort] = attrs.Factory(dict)
-    listening_at: int = 0
+    listener_revision: int = 0
     last_tick: float = attrs.Factory(anyio.current_time)
     stopped: anyio.Event = attrs.Factory(anyio.Event)
 
     def handle(self, event: model.Event) -> None:
-        """Hands an event to the node and carries out what it answers.
+        """Passes an event to the node and performs the resulting effects.
 
-        What waited in the sockets while the process was stopped is thrown
-        away: it may be older than anybody's memory of it.
+        Datagrams that waited in the sockets during a stall are discarded:
+        they may be older than the state that any process keeps about them.
         """
         now = anyio.current_time()
-        if now - self.last_tick > PAUSE_S:
+        if now - self.last_tick > STALL_THRESHOLD_S:
             self._discard_stale(now)
             if not isinstance(event, model.ConfigurationRead):
                 return
@@ -67,25 +67,25 @@
         self.perform(self.node.tick(now))
 
     async def tick_forever(self) -> None:
-        """Ticks the node."""
+        """Ticks the node periodically and detects stalls of the process."""
         while True:
             now = anyio.current_time()
-            if now - self.last_tick > PAUSE_S:
+            if now - self.last_tick > STALL_THRESHOLD_S:
                 self._discard_stale(now)
             self.last_tick = now
             self.perform(self.node.tick(now))
             await anyio.sleep(controllers.TICK_S)
 
     def perform(self, effects: list[model.Effect]) -> None:
-        """Carries out effects."""
+        """Performs effects, then updates the listeners if need be."""
         for effect in effects:
-            self._perform_one(effect)
+            self._perform_effect(effect)
         revision = self.node.board.config.store.revision
-        if revision != self.listening_at:
-            self.listening_at = revision
-            self._follow_configuration()
+        if revision != self.listener_revision:
+            self.listener_revision = revision
+            self._update_listeners()
 
-    def _perform_one(self, effect: model.Effect) -> None:
+    def _perform_effect(self, effect: model.Effect) -> None:
         match effect:
             case model.SendPeer():
                 self.peers.send(effect.to, effect.message)
@@ -118,7 +118,7 @@
         self.flow_port(effect.caller).send(effect.datagram)
 
     def flow_port(self, caller: model.Endpoint) -> UdpPort:
-        """Returns the socket of a flow, opened if need be."""
+        """Returns the socket of a flow, opening it if necessary."""
         port = self.flows.get(caller)
         if port is not None:
             return port
@@ -140,13 +140,15 @@
         if port is not None:
             port.close()
 
-    def _follow_configuration(self) -> None:
-        """Opens and closes the ports that the configuration asks for."""
+    def _update_listeners(self) -> None:
+        """Opens and closes listeners to match the configuration."""
         if self.settings.role is Role.AGENT:
             return
         services = self.node.board.config.store.services
         for name, port in list(self.listeners.items()):
-            if name not in services or not self._is_at(port, services[name]):
+            if name not in services or not self._is_bound_to(
+                port, services[name]
+            ):
                 port.close()
                 del self.listeners[name]
         for name, service in services.items():
@@ -157,7 +159,7 @@
         host = self.settings.listen_ip or service.address.host
         return model.Endpoint(host, service.address.port)
 
-    def _is_at(self, port: UdpPort, service: model.Service) -> bool:
+    def _is_bound_to(self, port: UdpPort, service: model.Service) -> bool:
         return port.endpoint == self._address_of(service)
 
     def _listen(self, service: model.Service) -> None:
@@ -177,15 +179,15 @@
         )
 
     def on_message(self, envelope: wire.Envelope) -> None:
-        """Takes a message of another process."""
+        """Handles a message from another process."""
         self.handle(model.PeerMessage(envelope.sender, envelope.message))
 
     def on_malformed(self) -> None:
-        """Counts bytes that are no message."""
+        """Counts a message that could not be decoded."""
         self.node.board.counters[Count.PEER_MALFORMED] += 1
 
     def restore_flows(self) -> None:
-        """Opens the sockets of flows taken over after a restart."""
+        """Opens the sockets of flows that were restored after a restart."""
         board = self.node.board
         if not isinstance(board, blackboards.AgentBoard):
             return
@@ -193,14 +195,14 @@
             if flow.restored:
                 self.flow_port(flow.caller)
 
-    async def keep_restored(self) -> None:
-        """Looks for flows to restore now and then."""
+    async def restore_periodically(self) -> None:
+        """Opens the sockets of restored flows periodically."""
         while self.settings.role is Role.AGENT:
             self.restore_flows()
-            await anyio.sleep(RESTART_WAIT_S)
+            await anyio.sleep(RESTORE_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stops as planned: waits until nothing is in progress."""
+        """Drains the node, for at most ``drain_s``, and ends all tasks."""
         self.perform(self.node.stop(anyio.current_time()))
         with anyio.move_on_after(self.settings.drain_s):
             await anyio.sleep(STOP_POLL_S)
--- a/notchhoist/daemon/settings.py
+++ b/notchhoist/daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of ``notchhoistd``: a file in JSON with comments."""
+"""Settings of ``notchhoistd``, read from a file in JSON with comments."""
 
 import enum
 import ipaddress
@@ -11,11 +11,11 @@
 from notchhoist import documents, model
 
 MIN_KEY_CHARACTERS = 8
-MAX_IDLE_S = 86_400.0
+MAX_DURATION_S = 86_400.0
 
 
 class Role(enum.StrEnum):
-    """What a daemon is."""
+    """Role of a daemon."""
 
     BALANCER = "balancer"
     AGENT = "agent"
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Settings:
-    """Everything that a daemon is told before it starts.
+    """Settings that a daemon reads when it starts.
 
     Attributes:
         role: ``balancer`` on an entry host, ``agent`` beside a backend
@@ -34,20 +34,21 @@
         peer: ``ip:port`` for messages between processes, UDP and TCP.
         operator: ``ip:port`` of the operator port; the callers' network
             must not reach it.
-        operator_key: Key that operators show; 8 characters or more.
-        platform: Address of the platform's service, ``http://ip:port``.
+        operator_key: Key that operators present; 8 characters or more.
+        platform: Address of the platform's API, ``http://ip:port``.
         service: Agent only: service of the backend server.
         backend: Agent only: ``ip:port`` of the backend server.
-        listen_ip: Balancer only: IP number to listen on instead of each
-            service's own, where several balancers share a machine; empty
-            for the services' own.
-        peers: ``ip:port`` of some balancers, for a start while the platform
-            is down.
-        idle_s: A flow without a stream is forgotten after this silence:
-            above 0 to 86,400 s; the same at all agents of a service.
+        listen_ip: Balancer only: IP address to listen on instead of the
+            service's own, if several balancers share a machine; empty to
+            listen on the service's address.
+        peers: ``ip:port`` of some balancers, which are queried for the
+            configuration, so that a daemon can start while the platform is
+            down.
+        idle_s: Time without packets after which a flow without a stream is
+            removed: above 0 to 86,400 s; the same at all agents of a service.
         drain_s: Longest time that a planned stop waits for requests in
             progress, 0 to 86,400 s.
-        seed: Seed of every draw; 0 takes one from the system.
+        seed: Seed of the random numbers; 0 takes one from the system.
     """
 
     role: Role
@@ -72,10 +73,10 @@
     """Reads and checks a settings file.
 
     Args:
-        path: The file.
+        path: Path of the settings file.
 
     Returns:
-        The settings, or everything that is wrong with them.
+        The settings, or an error with all problems found.
     """
     try:
         text = path.read_bytes()
@@ -92,7 +93,7 @@
 def parse_settings(
     text: bytes,
 ) -> Result[Settings, tuple[model.ConfigurationProblem, ...]]:
-    """Reads and checks the text of a settings file."""
+    """Parses and checks the text of a settings file."""
     return (
         documents.read_json(text)
         .bind(lambda value: documents.structure(value, Settings))
@@ -109,29 +110,31 @@
 
 def _problems(settings: Settings) -> Iterator[model.ConfigurationProblem]:
     if not settings.name:
-        yield _bad("name", "a name", settings.name)
+        yield _problem("name", "a name that is not empty", settings.name)
     if len(settings.operator_key) < MIN_KEY_CHARACTERS:
         expected = f"{MIN_KEY_CHARACTERS} characters or more"
-        yield _bad("operator_key", expected, "a shorter one")
+        yield _problem("operator_key", expected, "a shorter one")
     if not settings.platform.startswith("http://"):
-        yield _bad("platform", "http://ip:port", settings.platform)
+        yield _problem("platform", "http://ip:port", settings.platform)
     for field in ("peer", "operator", "backend"):
         yield from _address_problems(field, getattr(settings, field))
     if settings.role is Role.AGENT:
         yield from _agent_problems(settings)
     elif settings.service or settings.backend:
-        yield _bad("service", "nothing for a balancer", settings.service)
-    if not 0.0 < settings.idle_s <= MAX_IDLE_S:
-        yield _bad("idle_s", "above 0 to 86400 s", settings.idle_s)
-    if not 0.0 <= settings.drain_s <= MAX_IDLE_S:
-        yield _bad("drain_s", "0 to 86400 s", settings.drain_s)
+        yield _problem(
+            "service", "no service or backend for a balancer", settings.service
+        )
+    if not 0.0 < settings.idle_s <= MAX_DURATION_S:
+        yield _problem("idle_s", "above 0 to 86400 s", settings.idle_s)
+    if not 0.0 <= settings.drain_s <= MAX_DURATION_S:
+        yield _problem("drain_s", "0 to 86400 s", settings.drain_s)
 
 
 def _agent_problems(settings: Settings) -> Iterator[model.ConfigurationProblem]:
     if not settings.service:
-        yield _bad("service", "a service for an agent", settings.service)
+        yield _problem("service", "a service for an agent", settings.service)
     if settings.backend is None:
-        yield _bad("backend", "ip:port for an agent", settings.backend)
+        yield _problem("backend", "ip:port for an agent", settings.backend)
 
 
 def _address_problems(
@@ -142,8 +145,10 @@
     try:
         ipaddress.ip_address(endpoint.host)
     except ValueError:
-        yield _bad(place, "an IP number and a port", endpoint)
+        yield _problem(place, "an IP address and a port", endpoint)
 
 
-def _bad(place: str, expected: str, got: object) -> model.ConfigurationProblem:
+def _problem(
+    place: str, expected: str, got: object
+) -> model.ConfigurationProblem:
     return model.ConfigurationProblem(place, expected, repr(got))
--- a/notchhoist/daemon/signals.py
+++ b/notchhoist/daemon/signals.py
@@ -1,4 +1,4 @@
-"""Signals delivered through the small loop."""
+"""Delivers Unix signals through the daemon's event loop."""
 
 import signal
 import socket
@@ -8,7 +8,7 @@
 
 
 def watch_signals(loop: Loop, on_signal: Callable[[int], None]) -> None:
-    """Delivers signals through the loop."""
+    """Calls a function on SIGTERM, SIGINT and SIGHUP; ignores SIGPIPE."""
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
     sender.setblocking(False)
@@ -17,9 +17,9 @@
         signal.signal(number, lambda *_: None)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
-    def read() -> None:
-        # Holding ``sender`` here keeps it open for the handler.
+    def read_signals() -> None:
+        # The reference to ``sender`` keeps it open for the signal handler.
         for number in receiver.recv(64) if sender else b"":
             on_signal(number)
 
-    loop.on_readable(receiver, read)
+    loop.on_readable(receiver, read_signals)
--- a/notchhoist/daemon/sockets.py
+++ b/notchhoist/daemon/sockets.py
@@ -1,4 +1,4 @@
-"""UDP sockets that are read in batches and never raise out of a task."""
+"""UDP sockets that are read in batches and whose errors end no task."""
 
 import socket
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 from notchhoist.base import datagrams
 
 MIN_PORT = 1024
-PORT_SPAN = 60_000
+PORT_COUNT = 60_000
 LOOPBACK_PREFIX = "127."
-DERIVED_ATTEMPTS = 4
+MAX_DERIVED_ATTEMPTS = 4
 
 OnDatagram = Callable[[bytes, model.Endpoint], None]
 
@@ -23,8 +23,8 @@
     """A bound UDP socket.
 
     Attributes:
-        sock: The socket, not blocking.
-        closed: It has been closed.
+        sock: The non-blocking socket.
+        closed: Whether the socket has been closed.
     """
 
     sock: socket.socket
@@ -37,26 +37,26 @@
         return model.Endpoint(host, port)
 
     def send(self, datagram: bytes, to: model.Endpoint | None = None) -> None:
-        """Sends a datagram; what the kernel refuses is lost, as on a wire."""
+        """Sends a datagram, which is lost if the kernel refuses it."""
         address = (to.host, to.port) if to is not None else None
         datagrams.send(self.sock, datagram, address)
 
     def receive(self) -> list[tuple[bytes, model.Endpoint]]:
-        """Returns what is there now, at most a batch."""
+        """Returns the datagrams received so far, one batch at most."""
         return [
             (data, model.Endpoint(host, port))
             for data, (host, port) in datagrams.receive_batch(self.sock)
         ]
 
     def discard(self) -> int:
-        """Throws away everything that waits; returns how many."""
+        """Discards all waiting datagrams and returns their number."""
         count = 0
         while batch := self.receive():
             count += len(batch)
         return count
 
     async def run(self, on_datagram: OnDatagram) -> None:
-        """Hands over datagrams until the port is closed."""
+        """Passes on received datagrams until the port is closed."""
         while not self.closed:
             try:
                 await anyio.wait_readable(self.sock)
@@ -67,7 +67,7 @@
             await anyio.lowlevel.checkpoint()
 
     def close(self) -> None:
-        """Closes the socket; ``run`` returns."""
+        """Closes the socket, which makes ``run`` return."""
         if self.closed:
             return
         self.closed = True
@@ -78,14 +78,14 @@
 def open_udp(
     local: model.Endpoint, peer: model.Endpoint | None = None
 ) -> UdpPort:
-    """Opens a UDP port.
+    """Opens a UDP socket.
 
     Args:
-        local: Where to bind; port 0 lets the kernel choose.
+        local: Endpoint to bind; the kernel chooses a port for port 0.
         peer: Endpoint to connect to, or None.
 
     Returns:
-        The port.
+        The bound socket.
 
     Raises:
         OSError: The address cannot be bound.
@@ -99,8 +99,8 @@
 ) -> model.Endpoint:
     """Returns the loopback endpoint that a flow is bound to.
 
-    It follows from the agent and the caller alone, so a restarted agent binds
-    the same one and the backend server sees the same flow.
+    The endpoint depends on the agent and the caller only. A restarted agent
+    binds the same one, so the backend server sees the same flow.
 
     Examples:
         >>> caller = model.Endpoint("10.1.1.1", 4000)
@@ -110,7 +110,7 @@
     Args:
         agent: Name of the agent's host.
         caller: Endpoint of the caller.
-        attempt: Counts further choices where one is taken.
+        attempt: Number of endpoints tried before, as those are in use.
 
     Returns:
         An endpoint in 127.0.0.0/8.
@@ -120,7 +120,7 @@
     octets = [(digest >> shift) & 0xFF for shift in (0, 8, 16)]
     last = 1 + octets[2] % 254
     host = f"{LOOPBACK_PREFIX}{octets[0]}.{octets[1]}.{last}"
-    return model.Endpoint(host, MIN_PORT + (digest >> 24) % PORT_SPAN)
+    return model.Endpoint(host, MIN_PORT + (digest >> 24) % PORT_COUNT)
 
 
 def open_flow(
@@ -128,13 +128,13 @@
 ) -> UdpPort:
     """Opens the socket of a flow towards the backend server.
 
-    Beside a backend server on loopback the endpoint is derived, elsewhere
-    the kernel chooses it.
+    For a backend server on a loopback address the local endpoint is derived
+    from agent and caller; otherwise the kernel chooses it.
     """
     if not backend.host.startswith(LOOPBACK_PREFIX):
         any_address = "::" if ":" in backend.host else "0.0.0.0"
         return open_udp(model.Endpoint(any_address, 0), backend)
-    for attempt in range(DERIVED_ATTEMPTS):
+    for attempt in range(MAX_DERIVED_ATTEMPTS):
         try:
             return open_udp(derived_endpoint(agent, caller, attempt), backend)
         except OSError:
--- a/notchhoist/daemon/store_calls.py
+++ b/notchhoist/daemon/store_calls.py
@@ -1,4 +1,4 @@
-"""A balancer's calls to the platform's store, on the small loop."""
+"""Requests of a balancer to the platform's store, on the event loop."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -13,15 +13,16 @@
 
 
 class StoreCalls(Struct, eq=False):
-    """Makes a balancer's calls to the platform's store.
+    """Sends the requests of a balancer to the platform's store.
 
     Attributes:
         loop: The event loop.
-        feeder: Decides the calls.
-        caller: Makes them.
-        confirmer: Makes those that cannot wait for a watch to end.
-        perform: Carries out effects.
-        observe: Counts the time since a moment.
+        feeder: Decides which requests are sent and handles the responses.
+        caller: Sends the requests of ``call``.
+        confirmer: Sends those of ``confirm``, which cannot wait for a watch to
+            end.
+        perform: Performs effects.
+        observe: Records the time since a given time, by timing and outcome.
     """
 
     loop: Loop
@@ -32,13 +33,13 @@
     observe: Callable[[Timing, str, float], None]
 
     def call(self) -> None:
-        """Makes the next call, if one is needed."""
+        """Sends the next request, if one is needed."""
         call = self.feeder.next_call(self.loop.clock())
         if call is None:
             self._schedule()
             return
         feeder = self.feeder
-        self._make(
+        self._send(
             self.caller,
             call,
             feeder.on_answer,
@@ -53,16 +54,16 @@
         self.feeder.on_failed(reason, now, silent=reason == NO_ANSWER)
 
     def confirm(self) -> None:
-        """Makes a call beside the others; one is under way at the most."""
+        """Sends a confirming request; no other one may be pending."""
         feeder = self.feeder
-        self._make(
+        self._send(
             self.confirmer,
             feeder.confirming_call(self.loop.clock()),
             feeder.on_confirmation,
             feeder.on_confirmation_failed,
         )
 
-    def _make(
+    def _send(
         self,
         caller: HttpCaller,
         call: StoreCall,
@@ -71,24 +72,24 @@
         is_needed: Callable[[], bool] = lambda: True,
     ) -> None:
         clock = self.loop.clock
-        called_at = clock()
+        sent_at = clock()
 
         def done(status: int, body: bytes) -> None:
             outcome = f"{call.purpose} {status}"
-            self.observe(Timing.STORE, outcome, called_at)
+            self.observe(Timing.STORE, outcome, sent_at)
             on_answer(status, body, clock(), caller.headers)
-            self._after(caller)
+            self._on_finished(caller)
 
         def failed(reason: str) -> None:
-            self.observe(Timing.STORE, f"{call.purpose} failed", called_at)
+            self.observe(Timing.STORE, f"{call.purpose} failed", sent_at)
             on_failed(reason, clock())
-            self._after(caller)
+            self._on_finished(caller)
 
         caller.get(
             call.target, call.timeout_s, done, failed, call.most_s, is_needed
         )
 
-    def _after(self, caller: HttpCaller) -> None:
+    def _on_finished(self, caller: HttpCaller) -> None:
         if caller is self.caller:
             self._schedule()
         else:
--- a/notchhoist/daemon/tests/test_http_call.py
+++ b/notchhoist/daemon/tests/test_http_call.py
@@ -1,4 +1,4 @@
-"""Calls to a server that goes silent without a reset, at each point of one."""
+"""Tests of requests to a server that stops responding without a reset."""
 
 import socket
 
@@ -7,22 +7,22 @@
 from notchhoist.daemon.http_call import HttpCaller
 from notchhoist.daemon.loop import Loop
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 TIMEOUT_S = 2.95
-BEFORE_SILENCE = {
+SENT_BEFORE_SILENCE = {
     "nothing": b"",
-    "half of the head": HEAD[:20],
-    "the head": HEAD,
-    "half of the body": HEAD + b"an",
+    "half of the head": RESPONSE_HEAD[:20],
+    "the head": RESPONSE_HEAD,
+    "half of the body": RESPONSE_HEAD + b"an",
 }
 
 
 class Exchange:
-    """A caller, a server that the test plays, and the clock between them."""
+    """A client, a server played by the test, and their simulated clock."""
 
     def __init__(self):
         self.now = 100.0
-        self.answers = []
+        self.responses = []
         self.failures = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.loop = Loop(lambda: self.now)
@@ -33,13 +33,13 @@
         self.caller.get(
             "/watch",
             TIMEOUT_S,
-            lambda status, body: self.answers.append((status, body)),
+            lambda status, body: self.responses.append((status, body)),
             self.failures.append,
             **fields,
         )
 
-    def drip(self, connection, data, pause_s):
-        """Sends an answer a byte at a time, and lets the caller read."""
+    def send_bytewise(self, connection, data, pause_s):
+        """Sends a response byte by byte, and lets the client read each."""
         for byte in data:
             if self.failures:
                 return
@@ -48,7 +48,7 @@
             self.loop.turn()
 
     def accept(self):
-        """Lets the connection be made and the request be sent."""
+        """Accepts the connection and receives the request."""
         self.loop.turn()
         connection, _ = self.listener.accept()
         connection.recv(1000)
@@ -61,15 +61,15 @@
 
 @pytest.fixture
 def exchange():
-    made = Exchange()
-    yield made
-    made.close()
+    new_exchange = Exchange()
+    yield new_exchange
+    new_exchange.close()
 
 
-@pytest.mark.parametrize("sent", BEFORE_SILENCE.values(), ids=BEFORE_SILENCE)
-def test_silence_is_noticed_and_the_next_call_gets_a_new_connection(
-    exchange, sent
-):
+@pytest.mark.parametrize(
+    "sent", SENT_BEFORE_SILENCE.values(), ids=SENT_BEFORE_SILENCE
+)
+def test_silence_times_out_and_next_request_gets_new_connection(exchange, sent):
     exchange.call()
     with exchange.accept() as silent:
         if sent:
@@ -81,54 +81,64 @@
         assert exchange.failures == ["no answer in time"]
         exchange.call()
         with exchange.accept() as fresh:
-            fresh.sendall(HEAD + b"news")
+            fresh.sendall(RESPONSE_HEAD + b"news")
             exchange.loop.turn()
-    assert exchange.answers == [(200, b"news")]
+    assert exchange.responses == [(200, b"news")]
 
 
-def test_no_call_relies_on_a_connection_that_may_have_gone_silent(exchange):
-    """The parser was asked too late whether to keep it, and said no always."""
+def test_connection_is_closed_after_each_response(exchange):
+    """Each request has its own connection, as an open one may stop responding.
+
+    The former check whether to keep a connection queried the parser too late
+    and therefore always got a negative answer.
+    """
     for _ in range(2):
         exchange.call()
         with exchange.accept() as connection:
-            connection.sendall(HEAD + b"news")
+            connection.sendall(RESPONSE_HEAD + b"news")
             exchange.loop.turn()
             assert connection.recv(1000) == b""
-    assert exchange.answers == [(200, b"news")] * 2
+    assert exchange.responses == [(200, b"news")] * 2
 
 
-def test_an_answer_is_waited_for_while_it_comes_in(exchange):
-    """Lists over narrow links were given up half way, again and again."""
-    exchange.call(most_s=100 * TIMEOUT_S)
-    with exchange.accept() as narrow:
-        exchange.drip(narrow, HEAD + b"news", 0.9 * TIMEOUT_S)
-    assert (exchange.answers, exchange.failures) == ([(200, b"news")], [])
+def test_slow_response_is_received_while_data_arrives(exchange):
+    """Listings over low-bandwidth links timed out half way, repeatedly."""
+    exchange.call(total_timeout_s=100 * TIMEOUT_S)
+    with exchange.accept() as slow_connection:
+        exchange.send_bytewise(
+            slow_connection, RESPONSE_HEAD + b"news", 0.9 * TIMEOUT_S
+        )
+    assert (exchange.responses, exchange.failures) == ([(200, b"news")], [])
 
 
-def test_one_that_stops_coming_in_is_given_up_as_soon_as_a_silent_one(exchange):
-    exchange.call(most_s=100 * TIMEOUT_S)
-    with exchange.accept() as narrow:
-        exchange.drip(narrow, HEAD + b"n", 0.9 * TIMEOUT_S)
+def test_interrupted_response_times_out_like_a_silent_server(exchange):
+    exchange.call(total_timeout_s=100 * TIMEOUT_S)
+    with exchange.accept() as slow_connection:
+        exchange.send_bytewise(
+            slow_connection, RESPONSE_HEAD + b"n", 0.9 * TIMEOUT_S
+        )
         exchange.now += TIMEOUT_S
         exchange.loop.turn()
     assert exchange.failures == ["no answer in time"]
 
 
-def test_an_answer_that_never_ends_is_given_up_in_the_end(exchange):
-    exchange.call(most_s=3 * TIMEOUT_S)
-    with exchange.accept() as narrow:
-        exchange.drip(narrow, HEAD + b"news", 0.9 * TIMEOUT_S)
+def test_endless_response_fails_at_the_total_timeout(exchange):
+    exchange.call(total_timeout_s=3 * TIMEOUT_S)
+    with exchange.accept() as slow_connection:
+        exchange.send_bytewise(
+            slow_connection, RESPONSE_HEAD + b"news", 0.9 * TIMEOUT_S
+        )
     assert exchange.failures == ["no answer in time"]
     assert exchange.now <= 100.0 + 4 * TIMEOUT_S
 
 
-def test_an_answer_that_nobody_needs_any_more_leaves_the_link(exchange):
+def test_response_that_is_not_needed_any_more_is_cancelled(exchange):
     needed = [True]
     exchange.call(is_needed=lambda: needed[0])
     with exchange.accept() as connection:
-        exchange.drip(connection, HEAD, 0.0)
+        exchange.send_bytewise(connection, RESPONSE_HEAD, 0.0)
         assert not exchange.failures
         needed[0] = False
-        exchange.drip(connection, b"n", 0.0)
-        exchange.drip(connection, b"ews", 0.0)
+        exchange.send_bytewise(connection, b"n", 0.0)
+        exchange.send_bytewise(connection, b"ews", 0.0)
     assert exchange.failures == ["not needed any more"]
--- a/notchhoist/daemon/tests/test_journal.py
+++ b/notchhoist/daemon/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Logs: bounded, and refusals go before answers."""
+"""Tests of the logs: bounded, with refusals before answers."""
 
 from notchhoist.blackboards import Decision
 from notchhoist.daemon import journal
@@ -8,9 +8,9 @@
     return Decision(number, 0.0, "c:1", "GET /r", "roster", "x", reason, 1)
 
 
-def test_a_storm_of_decisions_is_sampled():
-    fresh = [decision(number, "") for number in range(400)]
-    fresh.append(decision(400, "queue_full"))
-    chosen = journal.choose_decisions(fresh)
-    assert len(chosen) == journal.DECISIONS_A_PERIOD
+def test_burst_of_decisions_is_sampled_with_refusals_first():
+    new_decisions = [decision(number, "") for number in range(400)]
+    new_decisions.append(decision(400, "queue_full"))
+    chosen = journal.choose_decisions(new_decisions)
+    assert len(chosen) == journal.MAX_DECISIONS_PER_PERIOD
     assert chosen[0].reason == "queue_full"
--- a/notchhoist/daemon/tests/test_lean_imports.py
+++ b/notchhoist/daemon/tests/test_lean_imports.py
@@ -1,9 +1,9 @@
-"""A start loads only what it needs, and leaves nothing in disguise."""
+"""Tests that a start loads no heavy module and leaves no placeholder behind."""
 
 import subprocess
 import sys
 
-HEAVY = ("platform", "textwrap", "uuid", "decimal", "asyncio")
+HEAVY_MODULES = ("platform", "textwrap", "uuid", "decimal", "asyncio")
 PROGRAM = """
 import sys
 from notchhoist.daemon.lean_imports import load_msgspec
@@ -18,17 +18,17 @@
 
 
 def run():
-    program = PROGRAM.format(heavy=HEAVY)
-    done = subprocess.run(
+    program = PROGRAM.format(heavy=HEAVY_MODULES)
+    completed = subprocess.run(
         [sys.executable, "-c", program],
         capture_output=True,
         text=True,
         check=True,
     )
-    return done.stdout.splitlines()
+    return completed.stdout.splitlines()
 
 
-def test_a_start_loads_no_heavy_module_and_later_imports_are_real():
+def test_start_loads_no_heavy_module_and_later_imports_are_real():
     heavy, real, decoded = run()
     assert heavy == "[]"
     assert real == "7 3.0 x"
--- a/notchhoist/daemon/tests/test_loop.py
+++ b/notchhoist/daemon/tests/test_loop.py
@@ -1,36 +1,36 @@
-"""The small event loop, on a clock that the test moves."""
+"""Tests of the event loop, with a clock that the test advances."""
 
 import socket
 
 from notchhoist.daemon.loop import Loop
 
 
-def test_timers_come_in_order_and_can_be_cancelled():
-    now, seen = [0.0], []
+def test_timers_run_in_order_and_can_be_cancelled():
+    now, calls = [0.0], []
     loop = Loop(lambda: now[0])
-    loop.call_at(0.2, lambda: seen.append("late"))
-    loop.call_at(0.1, lambda: seen.append("early"))
-    loop.call_at(0.15, lambda: seen.append("never")).cancel()
+    loop.call_at(0.2, lambda: calls.append("late"))
+    loop.call_at(0.1, lambda: calls.append("early"))
+    loop.call_at(0.15, lambda: calls.append("never")).cancel()
     now[0] = 0.3
     loop.turn()
-    assert seen == ["early", "late"]
+    assert calls == ["early", "late"]
 
 
-def test_sockets_come_before_timers():
-    """A process that was stopped reads answers before it judges silence."""
-    now, seen = [0.0], []
+def test_sockets_precede_timers():
+    """After a stall a process reads answers before it evaluates timeouts."""
+    now, calls = [0.0], []
     loop = Loop(lambda: now[0])
     left, right = socket.socketpair()
     with left, right:
-        loop.on_readable(right, lambda: seen.append(right.recv(1)))
-        loop.call_at(0.1, lambda: seen.append("timer"))
+        loop.on_readable(right, lambda: calls.append(right.recv(1)))
+        loop.call_at(0.1, lambda: calls.append("timer"))
         left.send(b"x")
         now[0] = 5.0
         loop.turn()
-    assert seen == [b"x", "timer"]
+    assert calls == [b"x", "timer"]
 
 
-def test_a_forgotten_socket_calls_nobody():
+def test_forgotten_socket_has_no_callback():
     loop = Loop(lambda: 0.0)
     left, right = socket.socketpair()
     with left, right:
--- a/notchhoist/daemon/tests/test_port_check.py
+++ b/notchhoist/daemon/tests/test_port_check.py
@@ -1,4 +1,4 @@
-"""Whether anybody takes packets at an address of this host."""
+"""Tests of the check whether a UDP port of this host is open."""
 
 import socket
 import time
@@ -9,18 +9,18 @@
 
 
 def check(address):
-    loop, told = Loop(time.monotonic), []
+    loop, results = Loop(time.monotonic), []
 
-    def end(reach):
-        told.append(reach)
+    def finish(result):
+        results.append(result)
         loop.stop()
 
-    check_packet_port(loop, address, b"packet", end)
+    check_packet_port(loop, address, b"packet", finish)
     loop.run()
-    return told
+    return results
 
 
-def test_a_closed_port_refuses_and_an_open_one_is_silent():
+def test_closed_port_refuses_and_open_port_is_silent():
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     address = sock.getsockname()
--- a/notchhoist/daemon/tests/test_settings.py
+++ b/notchhoist/daemon/tests/test_settings.py
@@ -1,10 +1,10 @@
-"""Settings: every problem at once, with its place."""
+"""Tests of the settings: all problems are reported, with their fields."""
 
 import pytest
 
 from notchhoist.daemon.settings import load_settings, parse_settings
 
-GOOD = b"""
+VALID_SETTINGS = b"""
 // an agent
 {
   role: "agent", name: "hallbook-1", zone: "castlecliff",
@@ -19,8 +19,8 @@
     return [problem.place for problem in parse_settings(text).failure()]
 
 
-def test_good_settings_with_comments():
-    settings = parse_settings(GOOD).unwrap()
+def test_valid_settings_with_comments():
+    settings = parse_settings(VALID_SETTINGS).unwrap()
     assert settings.idle_s == 30.0
     assert settings.backend.port == 5683
 
@@ -38,16 +38,18 @@
         ((b"idle_s: 30", b"idle: 30"), "document"),
     ],
 )
-def test_a_bad_field_is_named(change, place):
-    assert place in places(GOOD.replace(*change))
+def test_invalid_field_is_named(change, place):
+    assert place in places(VALID_SETTINGS.replace(*change))
 
 
-def test_all_problems_come_at_once():
-    text = GOOD.replace(b'"agent"', b'"king"').replace(b": 30", b': "x"')
+def test_all_problems_are_reported_together():
+    text = VALID_SETTINGS.replace(b'"agent"', b'"king"').replace(
+        b": 30", b': "x"'
+    )
     assert set(places(text)) == {"role", "idle_s"}
 
 
-def test_text_that_is_no_json_and_a_file_that_is_not_there(tmp_path):
+def test_invalid_json_and_missing_file(tmp_path):
     assert places(b"{") == ["text"]
     assert places(b"\xff") == ["byte 0"]
     refused = load_settings(tmp_path / "nowhere.json").failure()
