--- a/notchhoist/platform/checking.py
+++ b/notchhoist/platform/checking.py
@@ -1,4 +1,4 @@
-"""Checked access to decoded JSON: each error names field and place."""
+"""Validated access to decoded JSON; each error names the field's path."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, TypeVar
@@ -7,27 +7,28 @@
 
 T = TypeVar("T")
 
-_SHOWN_CHARACTERS = 60
+_SHOWN_CHARACTERS_MAX = 60
 
 
 class FieldError(ValueError):
-    """A field that does not hold what it must.
+    """A missing or invalid field.
 
     Attributes:
-        problem: Where, what was expected, what stood there.
+        problem: Path to the field, the expected value and the actual one.
     """
 
     def __init__(self, place: str, expected: str, got: object) -> None:
-        shown = repr(got)[:_SHOWN_CHARACTERS]
+        shown = repr(got)[:_SHOWN_CHARACTERS_MAX]
         self.problem = ConfigurationProblem(place, expected, shown)
         super().__init__(str(self.problem))
 
 
 class SeveralFieldsError(FieldError):
-    """Several fields that do not hold what they must.
+    """Several missing or invalid fields.
 
     Attributes:
-        problems: One for each of them.
+        problem: The first of ``problems``.
+        problems: One problem for each field.
     """
 
     def __init__(self, problems: tuple[ConfigurationProblem, ...]) -> None:
@@ -37,12 +38,12 @@
 
 
 class Problems:
-    """Collects what is wrong, so that everything can be told at once.
+    """Collects problems, so that all of them can be reported at once.
 
     Examples:
         >>> problems = Problems()
         >>> fields = Fields({"slots": "x"}, "server")
-        >>> problems.take(lambda: fields.integer("slots", 1, 9), 1)
+        >>> problems.value_or(lambda: fields.integer("slots", 1, 9), 1)
         1
         >>> len(problems.found)
         1
@@ -51,19 +52,19 @@
     def __init__(self) -> None:
         self.found: list[ConfigurationProblem] = []
 
-    def take(self, read: Callable[[], T], instead: T) -> T:
-        """Returns what is read, or something in its place where it is wrong."""
+    def value_or(self, read: Callable[[], T], default: T) -> T:
+        """Returns what ``read`` returns, or a default if that is invalid."""
         try:
             return read()
         except FieldError as error:
             self.found.append(error.problem)
-            return instead
+            return default
 
     def raise_any(self) -> None:
-        """Raises what was found.
+        """Raises an error if any problem was found.
 
         Raises:
-            SeveralFieldsError: Something was.
+            SeveralFieldsError: It holds all problems.
         """
         if self.found:
             raise SeveralFieldsError(tuple(self.found))
@@ -92,18 +93,18 @@
         return f"{self.place}.{name}" if self.place else name
 
     def has(self, name: str) -> bool:
-        """Tells whether a field stands there and is not null."""
+        """Tells whether a field is present and not null."""
         return self.values.get(name) is not None
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Returns a text that is not empty."""
+        """Returns a string, which may be empty only if there is a default."""
         value = self.values.get(name, default)
         if not isinstance(value, str) or (not value and default is None):
-            raise FieldError(self._at(name), "a text", value)
+            raise FieldError(self._at(name), "a string", value)
         return value
 
     def choice(self, name: str, choices: tuple[str, ...]) -> str:
-        """Returns a text that is one of some."""
+        """Returns a string that is one of the choices."""
         value = self.text(name)
         if value not in choices:
             raise FieldError(self._at(name), f"one of {choices}", value)
@@ -116,7 +117,7 @@
         high: float,
         default: float | None = None,
     ) -> float:
-        """Returns a number within bounds."""
+        """Returns a number from ``low`` to ``high``."""
         value = self.values.get(name, default)
         if (
             isinstance(value, bool)
@@ -130,7 +131,7 @@
     def integer(
         self, name: str, low: int, high: int, default: int | None = None
     ) -> int:
-        """Returns a whole number within bounds."""
+        """Returns an integer from ``low`` to ``high``."""
         value = self.values.get(name, default)
         if (
             isinstance(value, bool)
@@ -142,18 +143,18 @@
         return value
 
     def boolean(self, name: str, default: bool | None = None) -> bool:
-        """Returns a truth value."""
+        """Returns a boolean."""
         value = self.values.get(name, default)
         if not isinstance(value, bool):
             raise FieldError(self._at(name), "true or false", value)
         return value
 
-    def inner(self, name: str) -> "Fields":
-        """Returns the fields of an object in this one."""
+    def nested(self, name: str) -> "Fields":
+        """Returns the fields of a nested object."""
         return Fields(self.values.get(name), self._at(name))
 
     def elements(self, name: str) -> list[tuple[str, object]]:
-        """Returns the elements of a list as they stand, with their places."""
+        """Returns the paths and the unchecked elements of a list."""
         value = self.values.get(name)
         if not isinstance(value, list):
             raise FieldError(self._at(name), "a list", value)
@@ -161,17 +162,17 @@
         return [(f"{place}[{index}]", item) for index, item in enumerate(value)]
 
     def texts(self, name: str) -> tuple[str, ...]:
-        """Returns a list of texts."""
+        """Returns a list of strings."""
         value = self.values.get(name)
         if not isinstance(value, list) or not all(
             isinstance(item, str) for item in value
         ):
-            raise FieldError(self._at(name), "a list of texts", value)
+            raise FieldError(self._at(name), "a list of strings", value)
         return tuple(value)
 
 
 def split_address(text: str, place: str) -> tuple[str, int]:
-    """Reads ``ip:port``.
+    """Parses an IPv4 address and port, written as ``ip:port``.
 
     Examples:
         >>> split_address("10.1.0.10:8172", "listen.ready")
@@ -185,5 +186,5 @@
     return host, int(port)
 
 
-def _is_number(text: str, most: int) -> bool:
-    return text.isascii() and text.isdecimal() and int(text) <= most
+def _is_number(text: str, maximum: int) -> bool:
+    return text.isascii() and text.isdecimal() and int(text) <= maximum
--- a/notchhoist/platform/documents.py
+++ b/notchhoist/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's published documents, decoded into the product's types."""
+"""Decodes the platform's published documents into types of the balancer."""
 
 import binascii
 from collections.abc import Iterable
@@ -30,15 +30,20 @@
 MAX_WEIGHT = 1_000_000
 
 DEFAULT_IDLE_MS = 60_000.0
-"""Flows are kept for so long where the limit cannot be read, ms: as long as the
-platform promises anything to a flow, so that none is forgotten too early."""
+"""Idle timeout where the configured one cannot be read, ms.
 
-ROUTES_KEPT = 8192
-"""Routes whose text is kept with what it says: a new version repeats nearly all
-of them."""
+It is the longest time for which the platform guarantees anything to a flow, so
+that no flow is dropped too early.
+"""
 
-CAREFUL_KIND = "unsafe"
-"""Requests of a kind that is not known are taken to run at most once."""
+ROUTE_CACHE_SIZE = 8192
+"""Parsed routes that are cached by their text.
+
+A new version of the configuration repeats nearly all routes.
+"""
+
+FALLBACK_KIND = "unsafe"
+"""Requests of an unknown kind are treated as ones that must not run twice."""
 
 _KINDS = {
     "safe": RequestKind.IDEMPOTENT,
@@ -49,10 +54,10 @@
 
 
 def decode_json(text: bytes | str, place: str) -> object:
-    """Reads JSON.
+    """Decodes JSON.
 
     Raises:
-        FieldError: It is none.
+        FieldError: The text is not valid JSON.
     """
     try:
         return msgspec.json.decode(text)
@@ -61,10 +66,10 @@
 
 
 def decode_value(text: str, place: str) -> bytes:
-    """Reads the base64 that the store gives values in.
+    """Decodes a value of the store, which is in base64.
 
     Raises:
-        FieldError: It is none.
+        FieldError: The text is not valid base64.
     """
     try:
         return binascii.a2b_base64(text, strict_mode=True)
@@ -75,14 +80,14 @@
 def decode_configuration(text: bytes) -> RouteTable:
     """Decodes the operator's configuration.
 
-    What is wrong with a route costs that route only: one that cannot be
-    forwarded is left out and, where its address can be read, stays as it was
-    before; another is served with the most careful values. The table names
-    every such field.
+    A problem in a route affects only that route. A route without a readable
+    address or targets is left out; if its address can be read, the former
+    version of the route stays in use. A route with another problem is served
+    with the safest values. The table lists all invalid fields.
 
     Raises:
-        ConfigurationRefusedError: It is no configuration at all, or none of its
-            routes can be served; the error says where.
+        ConfigurationRefusedError: The document is no configuration, or none of
+            its routes can be served. The error names the invalid fields.
     """
     version = -1
     try:
@@ -93,8 +98,8 @@
         raise ConfigurationRefusedError(version, (error.problem,)) from error
     problems = Problems()
     routes = [
-        _good_route(raw)
-        or problems.take(partial(_route, value, place, problems), None)
+        _parse_valid_route(raw)
+        or problems.value_or(partial(_route, value, place, problems), None)
         for (place, value), raw in zip(
             listed, _raw_routes(text, len(listed)), strict=True
         )
@@ -102,7 +107,7 @@
     served = {item.service_key: item for item in routes if item is not None}
     if listed and not served:
         raise ConfigurationRefusedError(version, tuple(problems.found))
-    wrong = [
+    unusable = [
         value
         for (_, value), route in zip(listed, routes, strict=True)
         if route is None
@@ -113,18 +118,18 @@
         idle_s=_idle_ms(fields, problems) / 1000,
         cold_bounds=_cold_bounds(fields, problems),
         problems=tuple(problems.found),
-        unreadable=_addressed(wrong) - served.keys(),
+        unreadable=_readable_keys(unusable) - served.keys(),
     )
 
 
 class _RawRoutes(msgspec.Struct):
-    """A configuration whose routes are not read yet."""
+    """A configuration with the undecoded texts of its routes."""
 
     routes: list[msgspec.Raw]
 
 
 def _raw_routes(text: bytes, count: int) -> list[bytes]:
-    """Returns the text of each route; empty ones where that is not clear."""
+    """Returns the text of each route, or empty texts if that is unclear."""
     try:
         routes = msgspec.json.decode(text, type=_RawRoutes).routes
     except (msgspec.DecodeError, RecursionError, UnicodeError):
@@ -134,23 +139,23 @@
     return [bytes(route) for route in routes]
 
 
-@lru_cache(maxsize=ROUTES_KEPT)
-def _good_route(text: bytes) -> Route | None:
-    """Returns the route that a text says; None where anything is wrong."""
+@lru_cache(maxsize=ROUTE_CACHE_SIZE)
+def _parse_valid_route(text: bytes) -> Route | None:
+    """Parses a route; returns None if any field of it is invalid."""
     problems = Problems()
     try:
         value = decode_json(text, "route")
     except FieldError:
         return None
     read = partial(_route, value, "route", problems)
-    route = problems.take(read, None)
+    route = problems.value_or(read, None)
     return None if problems.found else route
 
 
-def _addressed(values: Iterable[object]) -> frozenset[bytes]:
-    """Returns the keys of the routes whose addresses can be read."""
+def _readable_keys(values: Iterable[object]) -> frozenset[bytes]:
+    """Returns the keys of those routes whose addresses can be read."""
     ignored = Problems()
-    keys = [ignored.take(partial(_key, value), b"") for value in values]
+    keys = [ignored.value_or(partial(_key, value), b"") for value in values]
     return frozenset(key for key in keys if key)
 
 
@@ -161,8 +166,8 @@
 def _address(fields: Fields) -> tuple[str, int]:
     """Reads a route's service address.
 
-    ``host`` is its IP number and ``path_prefix`` its port between slashes; the
-    names come from routes of another kind.
+    ``host`` holds the IP address and ``path_prefix`` the port between slashes.
+    The field names come from another kind of routes.
     """
     host = fields.text("host")
     port = fields.text("path_prefix").strip("/")
@@ -170,13 +175,13 @@
 
 
 def _cold_bounds(fields: Fields, problems: Problems) -> tuple[ColdBound, ...]:
-    """Reads what cold servers bear; services without a bound are left out."""
+    """Reads the cold bounds; services without one are left out."""
     if not fields.has("services"):
         return ()
-    none: list[tuple[str, object]] = []
-    listed = problems.take(lambda: fields.elements("services"), none)
+    no_services: list[tuple[str, object]] = []
+    listed = problems.value_or(lambda: fields.elements("services"), no_services)
     read = [
-        problems.take(partial(_cold_bound, value, place), None)
+        problems.value_or(partial(_cold_bound, value, place), None)
         for place, value in listed
     ]
     bounds = [bound for bound in read if bound is not None and bound.per_s]
@@ -193,39 +198,39 @@
 
 
 def _idle_ms(fields: Fields, problems: Problems) -> float:
-    return problems.take(
-        lambda: fields.inner("limits").number("idle_timeout_ms", 1, MAX_MS),
+    return problems.value_or(
+        lambda: fields.nested("limits").number("idle_timeout_ms", 1, MAX_MS),
         DEFAULT_IDLE_MS,
     )
 
 
 def _route(value: object, place: str, problems: Problems) -> Route:
-    """Reads a route; what only describes its requests may be wrong."""
+    """Reads a route; fields that only describe its requests may be invalid."""
     fields = Fields(value, place)
     host, number = _address(fields)
     targets = _targets(fields)
-    take = problems.take
+    value_or = problems.value_or
 
     def milliseconds(name: str) -> float:
-        return take(lambda: fields.number(name, 0, MAX_MS, default=0), 0.0)
+        return value_or(lambda: fields.number(name, 0, MAX_MS, default=0), 0.0)
 
-    kind = take(lambda: fields.choice("kind", tuple(_KINDS)), CAREFUL_KIND)
+    kind = value_or(lambda: fields.choice("kind", tuple(_KINDS)), FALLBACK_KIND)
     return Route(
-        name=take(lambda: fields.text("name"), f"{host}:{number}"),
+        name=value_or(lambda: fields.text("name"), f"{host}:{number}"),
         service_key=service_key(host, number),
         kind=_KINDS[kind],
         targets=targets,
-        priority=take(lambda: fields.integer("priority", 0, 1000, 0), 0),
+        priority=value_or(lambda: fields.integer("priority", 0, 1000, 0), 0),
         objective_ms=milliseconds("target_latency_ms"),
         timeout_ms=milliseconds("timeout_ms"),
     )
 
 
 def _targets(fields: Fields) -> tuple[tuple[str, int], ...]:
-    """Reads where new flows go.
+    """Reads the services that get new flows, and their weights.
 
     Raises:
-        FieldError: A part of a split is wrong. With the others alone it would
+        FieldError: A part of a split is invalid. The other parts alone would
             not be the split that the operator asked for.
     """
     if not fields.has("split"):
@@ -234,7 +239,9 @@
     for place, value in fields.elements("split"):
         service, weight = _target(value, place)
         if service in targets:
-            raise FieldError(f"{place}.service", "each service once", service)
+            raise FieldError(
+                f"{place}.service", "a service not listed before", service
+            )
         targets[service] = weight
     if not any(targets.values()):
         place = f"{fields.place}.split"
@@ -248,13 +255,13 @@
 
 
 def decode_entry(server_id: str, text: bytes, created: int = 0) -> ServerEntry:
-    """Decodes what a backend server announces of itself.
+    """Decodes the entry that a backend server publishes.
 
-    Fields that nothing here needs are checked too: an entry that lacks one, or
-    holds something else there, was not written by a backend server.
+    Fields that are not used are checked too: an entry in which one is missing
+    or invalid was not written by a backend server.
 
     Raises:
-        FieldError: Something in it is wrong; the error says where.
+        FieldError: A field is missing or invalid; the error names it.
     """
     place = f"servers/{server_id}"
     fields = Fields(decode_json(text, place), place)
--- a/notchhoist/platform/items.py
+++ b/notchhoist/platform/items.py
@@ -1,4 +1,4 @@
-"""Items of the platform's store, read one by one: what each of them tells."""
+"""Decodes items of the platform's store into events, one item at a time."""
 
 from msgspec import Struct
 
@@ -15,32 +15,32 @@
 CONFIGURATION_KEY = "op/config"
 SERVERS_PREFIX = "servers/"
 EVACUATIONS_PREFIX = "op/evacuate/"
-"""An item under it asks that a zone be evacuated while it is there."""
+"""An item with this prefix evacuates a zone for as long as the item exists."""
 MAX_REVISION = COUNTS_PER_ERA - 1
 
 
 class TablePublished(Struct, frozen=True):
-    """A configuration, and the revision of its change."""
+    """A valid configuration, and the revision that published it."""
 
     table: RouteTable
     revision: int
 
 
 class TableRefused(Struct, frozen=True):
-    """A configuration that is wrong; the last good one stays."""
+    """An invalid configuration; the last valid one stays in force."""
 
     error: ConfigurationRefusedError
 
 
 class ServersListed(Struct, frozen=True):
-    """All backend servers.
+    """A complete list of the backend servers and evacuated zones.
 
     Attributes:
-        entries: Their entries, with the revision of each.
+        entries: Valid entries, each with its revision.
         revision: Revision of the list.
-        refused: Servers whose entries are wrong, with the revision of each;
-            they are still there.
-        evacuated: Zones that are evacuated, likewise.
+        refused: Ids of servers whose entries are invalid but still published,
+            each with the entry's revision.
+        evacuated: Evacuated zones, each with the revision of its evacuation.
     """
 
     entries: tuple[tuple[ServerEntry, int], ...]
@@ -50,21 +50,21 @@
 
 
 class ServerPublished(Struct, frozen=True):
-    """One backend server that is new or has changed, and when."""
+    """A new or changed entry of a backend server, and its revision."""
 
     entry: ServerEntry
     revision: int
 
 
 class ServerRemoved(Struct, frozen=True):
-    """A backend server whose entry has vanished, and when."""
+    """A backend server whose entry was removed, and the revision of that."""
 
     server_id: str
     revision: int
 
 
 class EntryRefused(Struct, frozen=True):
-    """An entry that is wrong, and when it was written.
+    """An invalid entry of a backend server, and its revision.
 
     Its server gets no new flows: whoever wrote the entry, nothing is known of
     the server any more. Its open flows stay.
@@ -76,21 +76,21 @@
 
 
 class ZoneEvacuated(Struct, frozen=True):
-    """An availability zone that is to get no new flows, and since when."""
+    """An availability zone that must get no new flows, and the revision."""
 
     zone: str
     revision: int
 
 
 class ZoneReturned(Struct, frozen=True):
-    """An availability zone whose evacuation was withdrawn, and when."""
+    """An availability zone whose evacuation has ended, and the revision."""
 
     zone: str
     revision: int
 
 
 class ItemRefused(Struct, frozen=True):
-    """An item that cannot be read at all; it is left out."""
+    """An item that cannot be decoded and is ignored."""
 
     error: FieldError
 
@@ -111,16 +111,16 @@
 def read_item(
     place: str, value: object, era: int = 0
 ) -> tuple[str, StoreEvent | None]:
-    """Reads an item; what is wrong in it costs nothing else.
+    """Decodes an item; an invalid item yields an event and raises nothing.
 
     Args:
-        place: Where it stands, for errors.
-        value: The item.
-        era: Era of the store that its revisions are of.
+        place: Path to the item, for error messages.
+        value: The item, decoded from JSON.
+        era: Era of the store to which its revisions belong.
 
     Returns:
-        Its key, empty where there is none, and what it tells; None for an item
-        of no concern.
+        Its key, or an empty string if it has none, and its event, or None if
+        the item is not relevant here.
     """
     try:
         item = Fields(value, place)
@@ -145,7 +145,7 @@
 
 
 def _zone_event(zone: str, item: Fields, era: int) -> StoreEvent:
-    """Reads an evacuation; that the item is there says all, not its value."""
+    """Decodes an evacuation; the item's existence counts, not its value."""
     try:
         revision = _revision(item, "revision", era)
         removed = item.boolean("removed", default=False)
@@ -157,7 +157,7 @@
 def _table_event(item: Fields, era: int) -> StoreEvent | None:
     try:
         if item.boolean("removed", default=False):
-            return None  # The last good one stays.
+            return None  # The last valid one stays.
         revision = _revision(item, "revision", era)
         value = decode_value(item.text("value"), CONFIGURATION_KEY)
         return TablePublished(decode_configuration(value), revision)
--- a/notchhoist/platform/packets.py
+++ b/notchhoist/platform/packets.py
@@ -1,10 +1,11 @@
-"""The platform's packets: a head of 32 bytes and data.
-
-Head, big-endian; offset and width in bytes: ``echo`` (0, 4); ``seq`` (4, 4);
-``ack`` (8, 4); ``flags`` (12, 1); ``pad`` (13, 1); ``sum`` (14, 4), which
-leaves out ``echo``, ``pad`` and the flag BOUNCED; ``sport`` (18, 2); ``dport``
-(20, 2); ``dst`` (22, 4); ``src`` (26, 4); ``len`` (30, 2). The ends do not read
-``echo`` and ``pad``; they carry our note, its upper eight bits in ``pad``.
+"""The platform's packets: a header of 32 bytes and a payload.
+
+Header fields, big-endian, with offset and width in bytes: ``echo`` (0, 4);
+``seq`` (4, 4); ``ack`` (8, 4); ``flags`` (12, 1); ``pad`` (13, 1); ``sum``
+(14, 4), a checksum that excludes ``echo``, ``pad`` and the flag BOUNCED;
+``sport`` (18, 2); ``dport`` (20, 2); ``dst`` (22, 4); ``src`` (26, 4); ``len``
+(30, 2). Callers and backend servers do not read ``echo`` and ``pad``; these
+carry the note of balancers and agents, its upper eight bits in ``pad``.
 """
 
 import socket
@@ -15,11 +16,14 @@
 
 HEAD_BYTES = 32
 MAX_DATA_BYTES = 1200
-"""Most data in a packet, bytes; from the platform's page on packets."""
+"""Maximum payload, bytes, as the platform specifies it."""
+
+SYN_SEND_TIMES_S = (0.0, 0.2, 0.6)
+"""When a caller sends a SYN and its retransmissions, seconds after the first.
 
-COPY_AGES_S = (0.0, 0.2, 0.6)
-"""When the copies of a SYN are sent, seconds after the first; a SYN counts
-them in ``ack``, where other packets acknowledge."""
+A SYN holds the number of retransmissions in ``ack``, where other packets hold
+an acknowledgement.
+"""
 
 _SYN = 1
 _RST = 2
@@ -29,7 +33,7 @@
 _FLAGS_AT = 12
 _LENGTH_AT = 30
 _PAD_SHIFT = 32
-_HEAD = struct.Struct(">IIIBBIHH4s4sH")
+_HEADER = struct.Struct(">IIIBBIHH4s4sH")
 _NOTE = struct.Struct(">I")
 _NOTE_MASK = 0xFFFFFFFF
 _RESET = struct.Struct(">4xI4xBx4x2s2s4s4s2x")
@@ -43,7 +47,7 @@
         'c612000101bb'
 
     Raises:
-        OSError: The host is no IP number.
+        OSError: The host is not an IPv4 address.
     """
     return socket.inet_aton(host) + port.to_bytes(2, "big")
 
@@ -73,16 +77,16 @@
         """See ``SegmentCodec``."""
         raw = segment.raw
         flags = raw[_FLAGS_AT] & ~_BOUNCED
-        return _noted(raw, flags, note) + raw[_FLAGS_AT + 2 :]
+        return _start_with_note(raw, flags, note) + raw[_FLAGS_AT + 2 :]
 
     def header_with_note(self, segment: Segment, note: int) -> bytes:
         """See ``SegmentCodec``."""
         raw = segment.raw
-        head = _noted(raw, raw[_FLAGS_AT], note)
-        return head + raw[_FLAGS_AT + 2 : _LENGTH_AT] + b"\0\0"
+        start = _start_with_note(raw, raw[_FLAGS_AT], note)
+        return start + raw[_FLAGS_AT + 2 : _LENGTH_AT] + b"\0\0"
 
     def make_reset(self, segment: Segment) -> bytes:
-        """See ``SegmentCodec``; its number lies in the caller's window."""
+        """See ``SegmentCodec``; its ``seq`` lies in the caller's window."""
         flow = segment.flow
         return _RESET.pack(
             segment.ack if not segment.opens else 0,
@@ -94,30 +98,30 @@
         )
 
 
-def _noted(raw: bytes, flags: int, note: int) -> bytes:
-    """Returns the head up to ``pad`` with a note."""
-    first = _NOTE.pack(note & _NOTE_MASK)
-    return first + raw[4:_FLAGS_AT] + bytes((flags, note >> _PAD_SHIFT))
+def _start_with_note(raw: bytes, flags: int, note: int) -> bytes:
+    """Returns the header up to and including ``pad``, with a note."""
+    echo = _NOTE.pack(note & _NOTE_MASK)
+    return echo + raw[4:_FLAGS_AT] + bytes((flags, note >> _PAD_SHIFT))
 
 
-def _waited_s(copies: int) -> float:
-    """Returns how long a caller has waited that sends a copy of its SYN."""
-    return COPY_AGES_S[min(copies, len(COPY_AGES_S) - 1)]
+def _waited_s(retransmissions: int) -> float:
+    """Returns how long a caller has waited when it retransmits its SYN."""
+    return SYN_SEND_TIMES_S[min(retransmissions, len(SYN_SEND_TIMES_S) - 1)]
 
 
 def _decode(raw: bytes, from_caller: bool) -> Segment:
     if len(raw) < HEAD_BYTES:
         raise CodecError("packet", f"{len(raw)} bytes, {HEAD_BYTES} expected")
-    note, seq, ack, flags, pad, _, _, _, _, _, size = _HEAD.unpack_from(raw)
+    note, seq, ack, flags, pad, _, _, _, _, _, size = _HEADER.unpack_from(raw)
     if size != len(raw) - HEAD_BYTES or size > MAX_DATA_BYTES:
         reason = f"len says {size}, {len(raw) - HEAD_BYTES} bytes follow"
         raise CodecError("packet", reason)
     returned = bool(flags & _BOUNCED)
-    source, target = raw[26:30] + raw[18:20], raw[22:26] + raw[20:22]
+    source, destination = raw[26:30] + raw[18:20], raw[22:26] + raw[20:22]
     if from_caller or returned:
-        caller, service = source, target
+        caller, service = source, destination
     else:
-        caller, service = target, source
+        caller, service = destination, source
     opens = bool(flags & _SYN) and not flags & _ACK
     return Segment(
         flow=caller + service,
--- a/notchhoist/platform/readiness.py
+++ b/notchhoist/platform/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether a process is ready."""
+"""Answers the platform's readiness check of a process."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 def status_for(path: str, is_ready: Callable[[], bool]) -> int:
-    """Returns the status that answers a request.
+    """Returns the HTTP status of the response to a request.
 
     Examples:
         >>> status_for("/ready", lambda: True), status_for("/", lambda: True)
--- a/notchhoist/platform/settings.py
+++ b/notchhoist/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays out for each process."""
+"""The settings file that the platform provides for each process."""
 
 import os
 from collections.abc import Mapping
@@ -20,46 +20,49 @@
 
 PATH_VARIABLE = "NOTCHHOIST_NODE_FILE"
 
-OFF_VARIABLE = "NOTCHHOIST_OFF"
-"""Names of mechanisms that are out of use, between blanks or commas."""
+DISABLED_VARIABLE = "NOTCHHOIST_OFF"
+"""Variable with the disabled mechanisms, separated by blanks or commas."""
 
 Address = tuple[str, int]
-"""IP number and port, as sockets take them."""
+"""IP address and port, as the ``socket`` module expects them."""
 
 NO_ADDRESS: Address = ("", 0)
 NO_FIELDS = Fields({}, "")
-"""Stand where something is wrong, until all that is wrong has been found."""
+"""``NO_ADDRESS`` and ``NO_FIELDS`` replace invalid values until all problems
+have been found."""
 
 
 class HostSettings(Struct, frozen=True):
-    """What a process on the platform's machines is told.
+    """Settings of a balancer or an agent on the platform's machines.
 
     Attributes:
         name: Name of its host.
         zone: Availability zone.
-        ip: IP number of the host, as other processes know it.
-        bind_ip: IP number to bind; another one behind address translation.
-        balances: It is a balancer; else an agent.
-        packets: Where packets arrive from routers or balancers.
-        ready: Where the platform asks whether it is ready.
-        outbound: Agent only: where the backend server's packets arrive.
-        backend: Agent only: the backend server.
-        service: Agent only: its service.
-        peer_ports: Ports for our own use, first and last.
-        peers: Hosts of some balancers, perhaps stale or down.
-        link_mbps: What the host's link carries, Mbit/s.
-        store: The platform's store.
-        drain_s: A leaving server must get no new work after this, seconds.
+        ip: IP address of the host, as other processes know it.
+        bind_ip: IP address to bind; it differs behind address translation.
+        balances: The process is a balancer; otherwise an agent.
+        packets: Address for packets from routers or balancers.
+        ready: Address of the platform's readiness check.
+        outbound: Agent only: address for packets of the backend server.
+        backend: Agent only: address of the backend server.
+        service: Agent only: service of the backend server.
+        peer_ports: First and last port for messages between balancers and
+            agents.
+        peers: Hosts of some balancers, which may be out of date or down.
+        link_mbps: Bandwidth of the host's link, Mbit/s.
+        store: Address of the platform's store.
+        drain_s: A draining server must get no new work after this, seconds.
         apply_s: A configuration must be in force after this, seconds.
         evacuate_s: An evacuated zone must get nothing new after this, seconds.
-        cold_overage: Factor up to which cold servers may get more than they
-            bear.
-        cold_slack: New flows that they may get besides in a second; None where
-            the platform sets no bound.
-        grace_s: Time from a request to stop to a kill, seconds.
+        cold_overage: Factor by which new flows of cold servers may exceed
+            their cold bound.
+        cold_slack: New flows per second that they may get in addition; None if
+            the platform sets no limit.
+        grace_s: Time from a request to stop until the process is killed,
+            seconds.
         first_start: The whole system starts for the first time.
-        uses: Which mechanisms are in use.
-        problems: Fields that were wrong and could be done without.
+        uses: Which mechanisms are enabled.
+        problems: Optional fields that were invalid; defaults replace them.
     """
 
     name: str
@@ -88,27 +91,28 @@
 
 
 def settings_path(environment: Mapping[str, str] = os.environ) -> str | None:
-    """Returns the settings file, or None outside the platform."""
+    """Returns the path of the settings file, or None outside the platform."""
     return environment.get(PATH_VARIABLE) or None
 
 
-def mechanisms(
+def enabled_mechanisms(
     problems: Problems, environment: Mapping[str, str] = os.environ
 ) -> Mechanisms:
-    """Returns the mechanisms in use; a name that is not known is passed over.
+    """Returns the enabled mechanisms; unknown names are reported and ignored.
 
     Examples:
-        >>> mechanisms(Problems(), {OFF_VARIABLE: "early doubt"}).doubt
+        >>> environment = {DISABLED_VARIABLE: "early doubt"}
+        >>> enabled_mechanisms(Problems(), environment).doubt
         False
     """
-    names = environment.get(OFF_VARIABLE, "").replace(",", " ").split()
-    known = [problems.take(partial(_mechanism, name), "") for name in names]
+    names = environment.get(DISABLED_VARIABLE, "").replace(",", " ").split()
+    known = [problems.value_or(partial(_mechanism, name), "") for name in names]
     return ALL.without(name for name in known if name)
 
 
 def _mechanism(name: str) -> str:
     if name not in NAMES:
-        raise FieldError(OFF_VARIABLE, f"one of {NAMES}", name)
+        raise FieldError(DISABLED_VARIABLE, f"one of {NAMES}", name)
     return name
 
 
@@ -116,8 +120,8 @@
     """Reads and checks the settings file.
 
     Raises:
-        SettingsRefusedError: It cannot be read, or a field is wrong that
-            nothing works without.
+        SettingsRefusedError: The file cannot be read, or a required field is
+            missing or invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -136,55 +140,55 @@
 def decode_host_settings(text: bytes) -> HostSettings:
     """Decodes the text of the settings file.
 
-    A field that a process can do without costs only what it is for: defaults
-    stand in its place, and the settings name it.
+    A default replaces an optional field that is invalid, and the settings list
+    the problem.
 
     Raises:
-        FieldError: Fields are wrong that nothing works without; the error names
-            each of them.
+        FieldError: Required fields are missing or invalid. The error names all
+            of them, and invalid optional fields too.
     """
     fields = Fields(decode_json(text, "settings"), "")
     problems = Problems()
-    spare = Problems()
-    take = problems.take
-    no_roles: tuple[str, ...] = ("side",)
-    roles = take(lambda: _roles(fields), no_roles)
+    tolerated = Problems()
+    value_or = problems.value_or
+    default_roles: tuple[str, ...] = ("side",)
+    roles = value_or(lambda: _roles(fields), default_roles)
     balances = "front" in roles
-    listen = take(lambda: fields.inner("listen"), NO_FIELDS)
-    bounds = spare.take(lambda: fields.inner("bounds"), NO_FIELDS)
-    limits = spare.take(lambda: fields.inner("limits"), NO_FIELDS)
-    platform = take(lambda: fields.inner("platform"), NO_FIELDS)
+    listen = value_or(lambda: fields.nested("listen"), NO_FIELDS)
+    bounds = tolerated.value_or(lambda: fields.nested("bounds"), NO_FIELDS)
+    limits = tolerated.value_or(lambda: fields.nested("limits"), NO_FIELDS)
+    platform = value_or(lambda: fields.nested("platform"), NO_FIELDS)
 
     def address(holder: Fields, name: str) -> Address:
-        return take(lambda: _address(holder, name), NO_ADDRESS)
+        return value_or(lambda: _address(holder, name), NO_ADDRESS)
 
-    def name_at(name: str) -> str:
-        return take(lambda: fields.text(name), "")
+    def required_text(name: str) -> str:
+        return value_or(lambda: fields.text(name), "")
 
     def seconds(name: str, unit_s: float, default: float) -> float:
         low, high = (1, 1e9) if unit_s < 1 else (0, 1e6)
-        read = spare.take(
+        read = tolerated.value_or(
             lambda: bounds.number(name, low, high, default), default
         )
         return read * unit_s
 
-    ip = name_at("ip")
+    ip = required_text("ip")
     settings = HostSettings(
-        name=spare.take(lambda: fields.text("node"), ip),
-        zone=spare.take(lambda: fields.text("zone"), ""),
+        name=tolerated.value_or(lambda: fields.text("node"), ip),
+        zone=tolerated.value_or(lambda: fields.text("zone"), ""),
         ip=ip,
-        # Not among the platform's fields; our own harnesses give it.
-        bind_ip=name_at("bind_ip" if fields.has("bind_ip") else "ip"),
+        # The platform does not set it; the project's own harnesses do.
+        bind_ip=required_text("bind_ip" if fields.has("bind_ip") else "ip"),
         balances=balances,
         packets=address(listen, "datagram_addr"),
         ready=address(listen, "ready"),
         outbound=None if balances else address(listen, "outbound"),
         # ``app`` is the backend server beside an agent.
         backend=None if balances else address(fields, "app"),
-        service="" if balances else name_at("service"),
-        peer_ports=take(lambda: _ports(fields), (0, 0)),
-        peers=spare.take(lambda: _peers(fields, spare), ()),
-        link_mbps=spare.take(
+        service="" if balances else required_text("service"),
+        peer_ports=value_or(lambda: _ports(fields), (0, 0)),
+        peers=tolerated.value_or(lambda: _peers(fields, tolerated), ()),
+        link_mbps=tolerated.value_or(
             lambda: limits.number("link_mbps", 0, 1e6, default=0), 0.0
         ),
         store=address(platform, "address"),
@@ -192,16 +196,16 @@
         apply_s=seconds("config_apply_ms", 0.001, 3000),
         grace_s=seconds("grace_s", 1.0, 6),
         evacuate_s=seconds("evacuate_ms", 0.001, 3000),
-        cold_overage=spare.take(
+        cold_overage=tolerated.value_or(
             lambda: bounds.number("cold_overage", 0, 1e6, default=1.0), 1.0
         ),
-        cold_slack=spare.take(partial(_cold_slack, bounds), None),
+        cold_slack=tolerated.value_or(partial(_cold_slack, bounds), None),
         first_start=fields.values.get("bootstrap") is True,
-        uses=mechanisms(spare),
+        uses=enabled_mechanisms(tolerated),
     )
-    problems.found += spare.found if problems.found else []
+    problems.found += tolerated.found if problems.found else []
     problems.raise_any()
-    return replace(settings, problems=tuple(spare.found))
+    return replace(settings, problems=tuple(tolerated.found))
 
 
 def _cold_slack(bounds: Fields) -> float | None:
@@ -230,7 +234,9 @@
         or not all(isinstance(port, int) for port in value)
         or not 0 < value[0] < value[1] <= 65535
     ):
-        raise FieldError("internal_ports", "two ports, rising", value)
+        raise FieldError(
+            "internal_ports", "two ports in ascending order", value
+        )
     return value[0], value[1]
 
 
@@ -238,7 +244,7 @@
     if not fields.has("seeds"):
         return ()
     read = [
-        problems.take(partial(split_address, str(text), place), NO_ADDRESS)
+        problems.value_or(partial(split_address, str(text), place), NO_ADDRESS)
         for place, text in fields.elements("seeds")
     ]
     return tuple(host for host, _ in read if host)
--- a/notchhoist/platform/tests/__init__.py
+++ b/notchhoist/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the platform's protocol."""
--- a/notchhoist/platform/tests/test_boundary.py
+++ b/notchhoist/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing outside the folder knows the platform's names."""
+"""Only the platform folder contains names of the platform's protocol."""
 
 import pathlib
 import re
@@ -14,7 +14,7 @@
 )
 
 
-def test_the_platforms_names_stay_in_its_folder():
+def test_only_the_platform_folder_contains_protocol_names():
     found = []
     for path in ROOT.rglob("*.py"):
         inner = path.relative_to(ROOT)
--- a/notchhoist/platform/tests/test_documents.py
+++ b/notchhoist/platform/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Published documents: decoded whole, or refused by name and place."""
+"""Published documents are decoded, or refused with the path of the field."""
 
 import copy
 import json
@@ -99,7 +99,7 @@
         (["routes"], [4, 5], "routes[0]"),
     ],
 )
-def test_a_document_that_is_wrong_as_a_whole_is_refused(path, value, place):
+def test_an_unusable_document_is_refused(path, value, place):
     with pytest.raises(ConfigurationRefusedError) as caught:
         decode_configuration(changed(CONFIGURATION, path, value))
     assert caught.value.problems[0].place.startswith(place)
@@ -116,7 +116,7 @@
         (["routes", 0, "split"], "a", "routes[0].split"),
     ],
 )
-def test_a_route_that_cannot_be_forwarded_costs_only_itself(path, value, place):
+def test_an_unusable_route_leaves_the_others_served(path, value, place):
     table = decode_configuration(changed(TWO_ROUTES, path, value))
     assert [route.name for route in table.routes.values()] == ["r-2"]
     assert table.problems[0].place.startswith(place)
@@ -134,14 +134,14 @@
         (["limits", "idle_timeout_ms"], True, "limits.idle_timeout_ms"),
     ],
 )
-def test_what_only_describes_requests_costs_no_route(path, value, place):
+def test_invalid_descriptions_of_requests_cost_no_route(path, value, place):
     table = decode_configuration(changed(TWO_ROUTES, path, value))
     assert len(table.routes) == 2
     assert [problem.place for problem in table.problems] == [place]
 
 
-def test_requests_of_an_unknown_kind_are_taken_to_run_once():
-    """One unknown word refused all 115 routes of a deployment."""
+def test_an_unknown_kind_counts_as_once_only():
+    """One unknown kind made balancers refuse all 115 routes of a deployment."""
     text = changed(TWO_ROUTES, ["routes", 0, "kind"], "odd")
     table = decode_configuration(text)
     kinds = [route.kind for route in table.routes.values()]
@@ -177,10 +177,8 @@
         ("a", "split", "'a'"),
     ],
 )
-def test_a_wrong_split_costs_its_route_only_which_stays_as_it_was(
-    split, place, got
-):
-    """With the rest of its targets it would not be the operator's split."""
+def test_an_invalid_split_leaves_its_route_as_it_was(split, place, got):
+    """The valid targets alone would not be the split that was asked for."""
     before = decode_configuration(json.dumps(TWO_ROUTES).encode())
     text = changed(TWO_ROUTES, ["routes", 0, "split"], split)
     table = decode_configuration(text)
@@ -261,7 +259,7 @@
         ("slots", 2.0),
     ],
 )
-def test_an_entry_of_another_writer_is_refused(field, value):
+def test_an_entry_with_an_invalid_field_is_refused(field, value):
     with pytest.raises(FieldError, match=f"servers/i-7.{field}"):
         decode_entry("i-7", changed(ENTRY, [field], value))
 
@@ -282,7 +280,7 @@
         b'{"service":"a","service":4}',
     ],
 )
-def test_what_is_no_entry_is_refused(text):
+def test_a_malformed_entry_is_refused(text):
     with pytest.raises(FieldError):
         decode_entry("i-7", text)
 
@@ -311,7 +309,7 @@
         assert entry.born_ms >= 0
 
 
-def test_bounds_of_cold_servers_are_read_and_nought_is_none():
+def test_cold_bounds_are_read_and_zero_means_none():
     services = [
         {"name": "hallbook", "cold_start_s": 2.0, "cold_per_s": 6.0},
         {"name": "scoredrop", "cold_start_s": 2.0, "cold_per_s": 0.0},
@@ -326,8 +324,8 @@
     ]
 
 
-def test_a_route_that_is_repeated_is_read_once():
-    """50 versions of 1,500 routes stopped a process for two seconds."""
+def test_an_unchanged_route_is_parsed_once():
+    """Parsing 50 versions of 1,500 routes blocked a process for two seconds."""
     text = json.dumps(CONFIGURATION).encode()
     again = json.dumps(CONFIGURATION | {"version": 8}).encode()
     first, second = decode_configuration(text), decode_configuration(again)
--- a/notchhoist/platform/tests/test_packets.py
+++ b/notchhoist/platform/tests/test_packets.py
@@ -1,4 +1,4 @@
-"""The packets' layout, from the platform's example, and malformed ones."""
+"""The packet layout, by the platform's example, and malformed packets."""
 
 import pytest
 from hypothesis import given
@@ -54,10 +54,12 @@
 
 
 @pytest.mark.parametrize(
-    ("copies", "waited_s"), [(0, 0.0), (1, 0.2), (2, 0.6), (9, 0.6)]
+    ("retransmissions", "waited_s"), [(0, 0.0), (1, 0.2), (2, 0.6), (9, 0.6)]
 )
-def test_copies_of_a_syn_tell_how_long_the_caller_waits(copies, waited_s):
-    assert crafting.request(flags=SYN, ack=copies).waited_s == waited_s
+def test_a_retransmitted_syn_tells_how_long_its_caller_waits(
+    retransmissions, waited_s
+):
+    assert crafting.request(flags=SYN, ack=retransmissions).waited_s == waited_s
 
 
 @pytest.mark.parametrize("size", [0, 1, HEAD_BYTES - 1])
@@ -66,7 +68,7 @@
         CODEC.decode_request(b"\0" * size)
 
 
-def test_a_length_that_lies_is_refused():
+def test_a_wrong_length_is_refused():
     with pytest.raises(CodecError, match="len says"):
         CODEC.decode_request(crafting.packet(data=b"abc")[:-1])
 
--- a/notchhoist/platform/tests/test_settings.py
+++ b/notchhoist/platform/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: both roles, and every wrong field by name."""
+"""The settings file for both roles; every invalid field is named."""
 
 import json
 
@@ -9,10 +9,10 @@
 from notchhoist.base.errors import SettingsRefusedError
 from notchhoist.platform.checking import FieldError, Problems
 from notchhoist.platform.settings import (
-    OFF_VARIABLE,
+    DISABLED_VARIABLE,
     decode_host_settings,
+    enabled_mechanisms,
     load_host_settings,
-    mechanisms,
     settings_path,
 )
 from notchhoist.platform.tests.test_documents import json_values
@@ -69,7 +69,7 @@
         ("app", "10.1.0.10:99999"),
     ],
 )
-def test_what_nothing_works_without_is_named(field, value):
+def test_an_invalid_required_field_is_named(field, value):
     with pytest.raises(FieldError, match=field):
         decode_host_settings(text(SIDE, **{field: value}))
 
@@ -86,15 +86,15 @@
         ("limits", {"link_mbps": "x"}),
     ],
 )
-def test_what_can_be_done_without_is_named_and_costs_only_itself(field, value):
-    """A strange list of balancers kept a daemon from starting."""
+def test_an_invalid_optional_field_is_named_and_replaced(field, value):
+    """An invalid list of balancers kept a daemon from starting."""
     settings = decode_host_settings(text(SIDE, **{field: value}))
     assert settings.problems[0].place.startswith(field)
     assert settings.backend == ("10.1.0.10", 8165)
     assert (settings.drain_s, settings.grace_s) == (3.0, 6.0)
 
 
-def test_one_wrong_peer_leaves_the_others():
+def test_an_invalid_peer_leaves_the_others():
     seeds = ["here", "10.2.0.40:8166"]
     settings = decode_host_settings(text(FRONT, seeds=seeds))
     assert settings.peers == ("10.2.0.40",)
@@ -127,7 +127,7 @@
         decode_host_settings(raw)
 
 
-def test_everything_that_is_wrong_is_told_at_once(tmp_path):
+def test_all_invalid_fields_are_reported_at_once(tmp_path):
     path = tmp_path / "settings.json"
     listen = {"datagram_addr": "10.1.0.10:8172"}
     wrong = text(SIDE, node=3, listen=listen, bounds={"drain_ms": -1}, app="x")
@@ -144,8 +144,10 @@
     ]
 
 
-def test_mechanisms_are_put_out_of_use_by_name_and_strange_names_told():
+def test_mechanisms_are_disabled_by_name_and_unknown_names_reported():
     problems = Problems()
-    uses = mechanisms(problems, {OFF_VARIABLE: "early, nonsense doubt"})
+    uses = enabled_mechanisms(
+        problems, {DISABLED_VARIABLE: "early, nonsense doubt"}
+    )
     assert (uses.early, uses.doubt, uses.order) == (False, False, True)
-    assert [item.place for item in problems.found] == [OFF_VARIABLE]
+    assert [item.place for item in problems.found] == [DISABLED_VARIABLE]
