--- a/notchhoist/platform/checking.py
+++ b/notchhoist/platform/checking.py
@@ -52,13 +52,13 @@
     def __init__(self) -> None:
         self.found: list[ConfigurationProblem] = []
 
-    def value_or(self, read: Callable[[], T], default: T) -> T:
-        """Returns what ``read`` returns, or a default if that is invalid."""
+    def value_or(self, read: Callable[[], T], fallback: T) -> T:
+        """Returns what ``read`` returns, or a fallback if that is invalid."""
         try:
             return read()
         except FieldError as error:
             self.found.append(error.problem)
-            return default
+            return fallback
 
     def raise_any(self) -> None:
         """Raises an error if any problem was found.
@@ -97,10 +97,10 @@
         return self.values.get(name) is not None
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Returns a string, which may be empty only if there is a default."""
+        """Returns a string; it may be empty only if a default is given."""
         value = self.values.get(name, default)
         if not isinstance(value, str) or (not value and default is None):
-            raise FieldError(self._at(name), "a string", value)
+            raise FieldError(self._at(name), "a non-empty string", value)
         return value
 
     def choice(self, name: str, choices: tuple[str, ...]) -> str:
--- a/notchhoist/platform/settings.py
+++ b/notchhoist/platform/settings.py
@@ -183,7 +183,7 @@
         packets=address(listen, "datagram_addr"),
         ready=address(listen, "ready"),
         outbound=None if balances else address(listen, "outbound"),
-        # ``app`` is the backend server beside an agent.
+        # ``app`` is the address of the agent's backend server.
         backend=None if balances else address(fields, "app"),
         service="" if balances else required_text("service"),
         peer_ports=value_or(lambda: _ports(fields), (0, 0)),
--- a/notchhoist/platform/tests/test_documents.py
+++ b/notchhoist/platform/tests/test_documents.py
@@ -62,7 +62,7 @@
 
 
 def changed(document, path, value):
-    """Returns a copy with one field replaced."""
+    """Returns the JSON text of a document with one field replaced."""
     document = copy.deepcopy(document)
     place = document
     for name in path[:-1]:
