--- a/notchhoist/daemon/__main__.py
+++ b/notchhoist/daemon/__main__.py
@@ -1,9 +1,9 @@
-"""Entry point of ``notchhoistd``: only what the chosen path needs is loaded.
+"""Entry point of ``notchhoistd``, which loads only the modules that it needs.
 
-A request to reload that comes before the process can take it would end it, so
-it is ignored from the first line on; the settings are read later anyway.
-Garbage is not collected before the process serves: nothing is garbage yet, and
-looking for it takes a tenth of the start.
+A reload signal (SIGHUP) that arrives before its handler is installed would end
+the process, so it is ignored from the first line on; the settings are read
+later anyway. The garbage collector is off until the process serves: there is no
+garbage yet, and the collector takes a tenth of the time of a start.
 """
 
 import _signal
@@ -59,7 +59,7 @@
 
 
 def main() -> None:
-    """Runs the daemon for the platform's settings, or for our own."""
+    """Runs the daemon with the platform's settings, or with our own."""
     if sys.argv[1:] in ([], ["--check"]):
         sys.exit(_run_on_platform(check=len(sys.argv) > 1))
     gc.enable()
--- a/notchhoist/daemon/decision_groups.py
+++ b/notchhoist/daemon/decision_groups.py
@@ -1,32 +1,33 @@
-"""Puts decisions that were taken together into one line of the log.
+"""Merges decisions that were taken together into one log line.
 
-One view can tell of every backend server at once, and each balancer reads it: a
-line a server leaves no room for what became of callers in the same second.
+One view can change every backend server at once, and every balancer applies it.
+With one line for each server, the limit on log lines leaves none for the
+requests of callers in the same second.
 """
 
 from collections.abc import Iterable
 
 from notchhoist.flows.model.records import Decision
 
-GROUPED = {"server": "servers"}
-"""Events that are put together, with the name of the common line."""
+GROUP_EVENTS = {"server": "servers"}
+"""Events that are merged, with the event name of the merged line."""
 
-GROUP_FROM = 4
-"""So many of one event in a row become one line."""
+MIN_GROUP_SIZE = 4
+"""Fewest consecutive decisions of one event that are merged."""
 
-NAMES_A_LINE = 40
-"""Names in a line at the most for each outcome; 0.6 KB of them."""
+MAX_NAMES_PER_OUTCOME = 40
+"""Most names in a line for each outcome: they take 0.6 KB."""
 
 
-def grouped(decisions: Iterable[Decision]) -> list[Decision]:
-    """Returns the decisions with rows of grouped events put together.
+def group_decisions(decisions: Iterable[Decision]) -> list[Decision]:
+    """Returns the decisions, with runs of the events to group merged.
 
     Examples:
-        >>> row = [
+        >>> run = [
         ...     Decision("server", b"", {"server": f"s{n}"}, "ready")
         ...     for n in range(5)
         ... ]
-        >>> [line] = grouped(row)
+        >>> [line] = group_decisions(run)
         >>> line.event, line.outcome, line.inputs["ready"][:2]
         ('servers', '5 changed', ['s0', 's1'])
 
@@ -34,35 +35,39 @@
         decisions: Decisions in the order in which they were taken.
     """
     lines: list[Decision] = []
-    row: list[Decision] = []
+    run: list[Decision] = []
     for decision in decisions:
-        if row and decision.event != row[0].event:
-            lines += _together(row)
-            row = []
-        if decision.event in GROUPED:
-            row.append(decision)
+        if run and decision.event != run[0].event:
+            lines += _merge(run)
+            run = []
+        if decision.event in GROUP_EVENTS:
+            run.append(decision)
         else:
             lines.append(decision)
-    return lines + _together(row)
+    return lines + _merge(run)
 
 
-def _together(row: list[Decision]) -> list[Decision]:
-    """Returns one line for a row of one event, if it is long."""
-    if len(row) < GROUP_FROM:
-        return row
-    event = row[0].event
-    names: dict[str, list[str]] = {}
-    for decision in row:
-        known = names.setdefault(decision.outcome, [])
-        known.append(str(decision.inputs.get(event, "")))
+def _merge(run: list[Decision]) -> list[Decision]:
+    """Merges a run of decisions of one event into one, if it is long enough."""
+    if len(run) < MIN_GROUP_SIZE:
+        return run
+    event = run[0].event
+    names_by_outcome: dict[str, list[str]] = {}
+    for decision in run:
+        names_of_outcome = names_by_outcome.setdefault(decision.outcome, [])
+        names_of_outcome.append(str(decision.inputs.get(event, "")))
     inputs: dict[str, object] = {
-        outcome: found[:NAMES_A_LINE] for outcome, found in names.items()
+        outcome: names[:MAX_NAMES_PER_OUTCOME]
+        for outcome, names in names_by_outcome.items()
     }
-    left_out = sum(max(0, len(item) - NAMES_A_LINE) for item in names.values())
-    if left_out:
-        inputs["left_out"] = left_out
-    revisions = [decision.inputs.get("revision") for decision in row]
+    omitted = sum(
+        max(0, len(item) - MAX_NAMES_PER_OUTCOME)
+        for item in names_by_outcome.values()
+    )
+    if omitted:
+        inputs["left_out"] = omitted
+    revisions = [decision.inputs.get("revision") for decision in run]
     inputs["revision"] = max(
         (item for item in revisions if isinstance(item, int)), default=0
     )
-    return [Decision(GROUPED[event], b"", inputs, f"{len(row)} changed")]
+    return [Decision(GROUP_EVENTS[event], b"", inputs, f"{len(run)} changed")]
--- a/notchhoist/daemon/flow_daemon.py
+++ b/notchhoist/daemon/flow_daemon.py
@@ -1,7 +1,7 @@
-"""The daemon on the platform's hosts: both roles over the small loop.
+"""The daemon on the platform's hosts, in both roles, on the small event loop.
 
-The sockets are opened before anything else is loaded that can wait, so that a
-restarted process serves as early as it can.
+The sockets are opened before any module is loaded that is not needed for them,
+so that a restarted process serves as early as possible.
 """
 
 import os
@@ -14,7 +14,7 @@
 
 from notchhoist.base import datagrams
 from notchhoist.base.errors import CodecError, SettingsRefusedError
-from notchhoist.daemon.decision_groups import grouped
+from notchhoist.daemon.decision_groups import group_decisions
 from notchhoist.daemon.flow_journal import FlowJournal, flow_text
 from notchhoist.daemon.flow_metrics import (
     METRICS_PATH,
@@ -57,45 +57,50 @@
     from notchhoist.flows.agent.node import AgentNode
     from notchhoist.flows.balancer.node import BalancerNode
 
-LEAVE_S = 1.8
-"""After a request to stop a balancer forwards for this long, seconds: routers
-ask twice a second and leave after two misses, and packets are under way."""
+BALANCER_STOP_DELAY_S = 1.8
+"""How long a balancer goes on forwarding after a request to stop, seconds.
+Routers check its readiness twice a second and stop using it after two failures,
+and some packets are in flight."""
 
-LEAVE_SHARE = 0.6
-"""The same as a share of the time until a kill, where that is short."""
+MAX_GRACE_SHARE = 0.6
+"""Largest share of the time between a request to stop and the kill that a
+process uses before it stops, which matters where that time is short."""
 
-AGENT_LEAVE_S = 0.05
-"""An agent only tells the balancers; then a quick restart serves best."""
+AGENT_STOP_DELAY_S = 0.05
+"""How long an agent runs after a request to stop, seconds. It only notifies the
+balancers; after that a quick restart is best for its flows."""
 
-WATCH_END_S = 3.0
-"""An agent whose server leaves waits for the server's end at most so long after
-a request to stop, seconds: flows that rest there end with it."""
+BACKEND_EXIT_WAIT_S = 3.0
+"""How long an agent of a draining server waits at most for the exit of the
+server after a request to stop, seconds: idle flows there end with the exit."""
 
-TIMED_EVERY = 64
-"""One packet in so many is timed, to keep the clock out of the others."""
+PACKETS_PER_TIMING = 64
+"""One packet in this many is timed, which saves the clock calls of the rest."""
 
-LOOK_EVERY_S = 5.0
-"""How often the settings file is looked at, seconds: the platform may change it
-without a signal, and nothing in it is urgent."""
+SETTINGS_CHECK_INTERVAL_S = 5.0
+"""How often the settings file is checked for changes, seconds. The platform may
+change it without a signal, and nothing in it is urgent."""
 
-MIN_TICK_S = 0.005
-"""Least time between two ticks; a wake-up costs processor time."""
+MIN_TICK_INTERVAL_S = 0.005
+"""Least time between two ticks, seconds; each wake-up costs processor time."""
 
 
 class FlowDaemon(Struct, eq=False):
-    """One process: sockets, timers and a node.
+    """One process: sockets, timers and a balancer or agent node.
 
     Attributes:
-        settings: What the platform told.
+        settings: Settings from the platform.
         loop: The event loop.
-        node: The decisions.
+        node: Takes packets and messages, and decides on effects.
         codec: Codec of the packets.
-        journal: The logs.
-        ports: Its sockets.
-        tick_timer: The next tick.
-        confirm: Reads the store at once; set where the process may call it.
-        packets_read: Packets so far; some are timed.
-        settings_changed_at: When the settings file last changed, nanoseconds.
+        journal: Writer of the logs.
+        ports: The sockets of the process.
+        tick_timer: Timer of the next tick.
+        confirm: Reads the store at once; None in a process that does not read
+            it.
+        packets_read: Number of packets read so far; some are timed.
+        settings_changed_at: When the settings file was last modified, in
+            nanoseconds.
     """
 
     settings: HostSettings
@@ -111,65 +116,68 @@
 
     @property
     def balancer(self) -> "BalancerNode":
-        """The node of a balancer.
+        """The node, in the role of balancer.
 
-        A process loads only its own role's modules: a balancer listens after
-        0.91 of the processor time, an agent after 0.94 (means of three runs
-        in turn, ratios to the interpreter alone), with 0.5 MB less.
+        A process loads only the modules of its own role. This reduces the
+        processor time until a balancer listens to 0.91 and until an agent
+        listens to 0.94 of what it was (each in relation to the start of the
+        interpreter alone), and saves 0.5 MB.
         """
         return cast("BalancerNode", self.node)
 
     @property
     def agent(self) -> "AgentNode":
-        """The node of an agent."""
+        """The node, in the role of agent."""
         return cast("AgentNode", self.node)
 
     def start(self) -> None:
-        """Begins to serve."""
+        """Starts to serve: sets up sockets, HTTP ports, signals and timers."""
         loop = self.loop
         sockets = self.ports.sockets
         loop.on_readable(sockets[Port.PACKETS], self._on_packets)
         loop.on_readable(sockets[Port.PEERS], self._on_peers)
         loop.on_readable(sockets[Port.CONTROL], self._on_control)
-        open_http_port(loop, self.settings.ready, self._answer)
+        open_http_port(loop, self.settings.ready, self._answer_readiness)
         metrics_at = (self.settings.bind_ip, METRICS_PORT)
-        open_http_port(loop, metrics_at, self._answer_metrics)
+        open_http_port(loop, metrics_at, self._answer_metrics_port)
         watch_signals(loop, self._on_signal)
-        self.settings_changed_at = _changed_at(settings_path())
-        loop.call_later(LOOK_EVERY_S, self._look_for_changes)
+        self.settings_changed_at = _modified_at_ns(settings_path())
+        loop.call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
         self.journal.log(
             "start", role="balancer" if self.settings.balances else "agent"
         )
-        self._log_problems(self.settings)
-        off = [name for name in NAMES if not getattr(self.settings.uses, name)]
-        if off:
-            self.journal.log("mechanisms", outcome="out of use", off=off)
+        self._log_invalid_settings(self.settings)
+        disabled = [
+            name for name in NAMES if not getattr(self.settings.uses, name)
+        ]
+        if disabled:
+            self.journal.log("mechanisms", outcome="out of use", off=disabled)
         self._tick()
 
-    def _log_problems(self, settings: HostSettings) -> None:
-        """Logs settings that were wrong and could be done without."""
+    def _log_invalid_settings(self, settings: HostSettings) -> None:
+        """Logs invalid settings for which a default is used."""
         for problem in settings.problems:
             self.journal.log(
                 "not understood", outcome=str(problem), place=problem.place
             )
 
-    def _answer(self, path: str) -> Reply:
+    def _answer_readiness(self, path: str) -> Reply:
         return Reply(status_for(path, lambda: self.node.is_ready))
 
-    def _metrics(self, now: float) -> str:
+    def _metrics_text(self, now: float) -> str:
         return metrics_text(
             self.node, self.settings.balances, now, self.ports.link
         )
 
-    def _answer_metrics(self, path: str) -> Reply:
+    def _answer_metrics_port(self, path: str) -> Reply:
         now = self.loop.clock()
         if path == METRICS_PATH:
-            return Reply(200, self._metrics(now))
+            return Reply(200, self._metrics_text(now))
         from notchhoist.daemon.flow_state import answer_state
 
         settings = self.settings
-        found = answer_state(self.node, settings.name, settings.zone, path, now)
-        return found or Reply(404)
+        reply = answer_state(self.node, settings.name, settings.zone, path, now)
+        return reply or Reply(404)
 
     def _on_packets(self) -> None:
         balances = self.settings.balances
@@ -187,13 +195,13 @@
                 continue
             self.perform(effects)
             self.packets_read += 1
-            if self.packets_read % TIMED_EVERY == 0:
+            if self.packets_read % PACKETS_PER_TIMING == 0:
                 self.observe(Timing.FORWARDING, "forwarded", now)
 
     def observe(self, timing: Timing, outcome: str, since: float) -> None:
-        """Counts the time since a moment."""
-        took_s = self.loop.clock() - since
-        self.node.board.records.observe(timing, "", outcome, took_s)
+        """Adds the time since a moment to the histogram of a duration."""
+        elapsed_s = self.loop.clock() - since
+        self.node.board.records.observe(timing, "", outcome, elapsed_s)
 
     def _on_peers(self) -> None:
         balances = self.settings.balances
@@ -231,7 +239,7 @@
         self.journal.log("malformed", reason=str(error))
 
     def perform(self, effects: Iterable[Effect]) -> None:
-        """Carries out effects and sets the next tick."""
+        """Performs effects and schedules the next tick."""
         for effect in effects:
             self._perform_one(effect)
         self._log_decisions()
@@ -250,7 +258,7 @@
                 to = (host, settings.packets[1])
                 self.ports.send(Port.PACKETS, datagram, to, flow, seq)
             case SendBackend():
-                # It is on this host: no link is between.
+                # It is on this host: the packet does not use the link.
                 sock = self.ports.sockets[Port.PACKETS]
                 datagrams.send(sock, effect.datagram, settings.backend)
             case SendPeer():
@@ -274,31 +282,32 @@
         if backend is None:
             return
 
-        def end(listens: bool, ended: bool | None = None) -> None:
+        def report(listens: bool, exited: bool | None = None) -> None:
             now = self.loop.clock()
-            self.perform(self.agent.on_backend_checked(listens, now, ended))
+            self.perform(self.agent.on_backend_checked(listens, now, exited))
 
-        def on_packet_checked(reach: ConnectResult) -> None:
-            end(listens=False, ended=reach is ConnectResult.REFUSED)
+        def on_packet_checked(result: ConnectResult) -> None:
+            report(listens=False, exited=result is ConnectResult.REFUSED)
 
-        def on_checked(reach: ConnectResult) -> None:
-            # One that does not answer at all may be slow, and its flows live.
-            if reach is not ConnectResult.REFUSED:
-                end(listens=True)
+        def on_checked(result: ConnectResult) -> None:
+            # A server that does not answer at all may only be slow, and its
+            # flows alive.
+            if result is not ConnectResult.REFUSED:
+                report(listens=True)
             elif sample:
                 check_packet_port(self.loop, backend, sample, on_packet_checked)
             else:
-                end(listens=False)
+                report(listens=False)
 
         check_port(self.loop, backend, BACKEND_WAIT_S, on_checked)
 
     def _check_host(self, host: str) -> None:
 
-        def on_checked(reach: ConnectResult) -> None:
+        def on_checked(result: ConnectResult) -> None:
             now = self.loop.clock()
-            self.perform(self.balancer.on_host_checked(host, reach, now))
+            self.perform(self.balancer.on_host_checked(host, result, now))
 
-        # Every agent listens there as soon as it serves.
+        # Every agent listens on the metrics port as soon as it serves.
         address = (host, METRICS_PORT)
         check_port(self.loop, address, HOST_WAIT_S, on_checked)
 
@@ -306,7 +315,7 @@
         decisions = self.node.board.records.decisions
         if not decisions:
             return
-        lines = grouped(decisions)
+        lines = group_decisions(decisions)
         decisions.clear()
         for decision in lines:
             fields = dict(decision.inputs)
@@ -319,15 +328,15 @@
         self.perform(self.node.tick(self.loop.clock()))
 
     def _schedule(self) -> None:
-        """Sets the next tick; one that is set is never put off.
+        """Schedules the next tick, but never postpones one that is scheduled.
 
-        Packets that came faster than ``MIN_TICK_S`` put an overdue tick off
-        again and again: after a loss of power agents with a packet each 3 ms
-        told, released and gave up nothing for 0.1 s and longer, balancers
-        likewise, and the searches that ran out of time meanwhile kept the
-        packets coming.
+        If it did, packets that arrive faster than ``MIN_TICK_INTERVAL_S`` would
+        postpone an overdue tick again and again. After a power failure, agents
+        with a packet every 3 ms reported, released and gave up nothing for
+        0.1 s and longer, and neither did balancers; the searches that timed
+        out meanwhile caused further packets.
         """
-        soonest = self.loop.clock() + MIN_TICK_S
+        soonest = self.loop.clock() + MIN_TICK_INTERVAL_S
         if self.tick_timer.when <= soonest:
             return
         when = max(self.node.due(), soonest)
@@ -336,23 +345,25 @@
         self.tick_timer.cancel()
         self.tick_timer = self.loop.call_at(when, self._tick)
 
-    def _look_for_changes(self) -> None:
-        """Reads the settings anew where their file has changed unannounced."""
-        changed_at = _changed_at(settings_path())
+    def _check_settings_file(self) -> None:
+        """Reloads the settings if their file has changed without a signal."""
+        changed_at = _modified_at_ns(settings_path())
         if changed_at != self.settings_changed_at:
             self._reload()
-        self.loop.call_later(LOOK_EVERY_S, self._look_for_changes)
+        self.loop.call_later(
+            SETTINGS_CHECK_INTERVAL_S, self._check_settings_file
+        )
 
     def _reload(self) -> None:
-        """Reads the settings anew; a bad file leaves the old ones in force."""
+        """Reloads the settings; an invalid file keeps the old ones in force."""
         path = settings_path()
-        self.settings_changed_at = _changed_at(path)
+        self.settings_changed_at = _modified_at_ns(path)
         try:
             settings = load_host_settings(path or "")
         except SettingsRefusedError as error:
             self.journal.log("reload", outcome="refused", reason=str(error))
             return
-        self._log_problems(settings)
+        self._log_invalid_settings(settings)
         if any(item.place.startswith("seeds") for item in settings.problems):
             settings = replace(settings, peers=self.settings.peers)
         if self.settings.balances:
@@ -362,7 +373,8 @@
             for name in settings.__struct_fields__
             if getattr(settings, name) != getattr(self.settings, name)
         ]
-        # Addresses that are bound stay until the next start.
+        # Only the peers change at run time: bound addresses stay as they are
+        # until the next start.
         self.settings = replace(self.settings, peers=settings.peers)
         self.journal.log("reload", outcome="read", changed=changed)
 
@@ -375,25 +387,29 @@
         self.journal.log("stop", signal=signal.Signals(number).name)
         if not self.settings.balances:
             self.perform(self.agent.stop(self.loop.clock()))
-            self.loop.call_later(AGENT_LEAVE_S, self._leave_agent)
-            leave_s = min(WATCH_END_S, LEAVE_SHARE * self.settings.grace_s)
-            self.loop.call_later(leave_s, self.loop.stop)
+            self.loop.call_later(AGENT_STOP_DELAY_S, self._stop_agent)
+            stop_after_s = min(
+                BACKEND_EXIT_WAIT_S, MAX_GRACE_SHARE * self.settings.grace_s
+            )
+            self.loop.call_later(stop_after_s, self.loop.stop)
         else:
             self.balancer.stop()
-            leave_s = min(LEAVE_S, LEAVE_SHARE * self.settings.grace_s)
-            self.loop.call_later(leave_s, self.loop.stop)
+            stop_after_s = min(
+                BALANCER_STOP_DELAY_S, MAX_GRACE_SHARE * self.settings.grace_s
+            )
+            self.loop.call_later(stop_after_s, self.loop.stop)
 
-    def _leave_agent(self) -> None:
-        """Ends an agent, unless it is to see its server's end."""
+    def _stop_agent(self) -> None:
+        """Stops an agent, unless it must wait until its server exits."""
         if self.agent.awaits_backend_exit():
-            self.loop.call_later(AGENT_LEAVE_S, self._leave_agent)
+            self.loop.call_later(AGENT_STOP_DELAY_S, self._stop_agent)
         else:
             self.loop.stop()
 
 
-def _changed_at(path: str | None) -> int:
-    """Returns when a file last changed, nanoseconds; 0 where there is none."""
+def _modified_at_ns(path: str | None) -> int:
+    """Returns when a file was last modified, nanoseconds; 0 if unknown."""
     try:
         return os.stat(path).st_mtime_ns if path else 0
     except OSError:
-        return 0  # A reload says what is wrong with it.
+        return 0  # The next reload reports what is wrong with the file.
--- a/notchhoist/daemon/flow_journal.py
+++ b/notchhoist/daemon/flow_journal.py
@@ -1,6 +1,6 @@
-"""Logs of the opaque-flow daemons: JSON lines that never block.
+"""Logs of the opaque-flow daemons: JSON lines, written without blocking.
 
-The fields are those that ``eliot`` writes for a message; the library itself
+The fields are those that ``eliot`` writes for a message. The library itself
 takes 0.08 s and 4 MB to load, too much for the platform's hosts.
 """
 
@@ -16,87 +16,96 @@
 from notchhoist.flows.model.records import COSTLY_EVENTS, ROUTINE_EVENTS
 
 LINES_A_SECOND = 200
-"""Most lines in a second; further ones are counted by kind. A line of 243 bytes
-takes 10 us (benchmarks/bench_logging.py), so this is 49 KB/s and 0.2% of a
-core."""
+"""Most lines a second; further ones are only counted, by event. A line of 243
+bytes takes 10 us (benchmarks/bench_logging.py), so this is 49 KB/s and 0.2% of
+a core."""
 
-FLOW_LINES = 70
-"""Most lines in a second that tell where flows went. With those below they
-leave half of the bound to decisions that cost a caller something."""
+MAX_FLOW_LINES = 70
+"""Most lines a second of routine decisions on flows. Together with the other
+events they leave half of the lines to decisions that cost a caller something.
+"""
 
-ANY_FLOW_LINES = 30
-"""Beyond so many of them only lines of sampled flows are written, so that every
-host keeps the same flows' lines and they can be followed from end to end."""
+MAX_UNSAMPLED_FLOW_LINES = 30
+"""Routine lines a second beyond which only lines of sampled flows are written.
+Every host then keeps the lines of the same flows, which can be traced end to
+end."""
 
-OTHER_LINES = 30
-"""Most lines in a second of all other events, those of the fleet among them."""
+MAX_OTHER_LINES = 30
+"""Most lines a second of all other events, such as changes of the fleet."""
 
-LINES_A_KIND = 15
-"""Most lines of one such event, so that none of them hides the rest."""
+MAX_LINES_PER_EVENT = 15
+"""Most lines a second of one of the other events, so that none of them uses up
+the limit of all."""
 
-SAMPLED_OF = 8
-"""One flow in so many is sampled."""
+FLOWS_PER_SAMPLE = 8
+"""One flow in this many is sampled."""
 
 Write = Callable[[bytes], None]
 
 
 class FlowJournal(Struct, eq=False):
-    """Writes log lines within a budget.
+    """Writes log lines within limits per second.
 
     Attributes:
         host: Name of this host.
         clock: The runtime's clock.
-        wall: Time of day, for people; it may jump.
-        write: Takes a line; raises ``OSError`` where it would block.
-        second: Start of the second that is being counted.
-        followed: Lines in it that tell where flows went.
-        others: Lines in it of other events, by kind.
-        costly: Lines in it of decisions that cost a caller something.
-        dropped: Lines that were not written, by kind.
+        wall: Time of day, for human readers; it may jump.
+        write: Writes a line; raises ``OSError`` if it would block.
+        second_started_at: Start of the current second.
+        flow_lines: Lines in this second of routine decisions on flows.
+        other_lines: Lines in this second of other events, by event.
+        costly_lines: Lines in this second of decisions that cost a caller
+            something.
+        dropped: Lines that were not written, by event.
     """
 
     host: str
     clock: Clock
     wall: Clock
     write: Write
-    second: float = 0.0
-    followed: int = 0
-    others: Counter[str] = field(default_factory=Counter)
-    costly: int = 0
+    second_started_at: float = 0.0
+    flow_lines: int = 0
+    other_lines: Counter[str] = field(default_factory=Counter)
+    costly_lines: int = 0
     dropped: Counter[str] = field(default_factory=Counter)
 
     def log(self, event: str, **fields: object) -> None:
-        """Writes one line, or counts it where the budget is used up."""
+        """Writes one line, or only counts it if its limit is reached."""
         now = self.clock()
-        if now - self.second >= 1.0:
-            self.second = now
-            self.followed = self.costly = 0
-            self.others.clear()
-            self._tell_dropped()
+        if now - self.second_started_at >= 1.0:
+            self.second_started_at = now
+            self.flow_lines = self.costly_lines = 0
+            self.other_lines.clear()
+            self._log_dropped()
         if self._admits(event, str(fields.get("flow", ""))):
             self._write(event, fields)
         else:
             self.dropped[event] += 1
 
     def _admits(self, event: str, flow: str) -> bool:
-        """Takes a line into the budget, if it has room for it."""
-        others = self.others.total()
+        """Counts a line against its limit; returns False if that is reached."""
+        others = self.other_lines.total()
         if event in COSTLY_EVENTS:
-            if self.costly + self.followed + others >= LINES_A_SECOND:
+            if self.costly_lines + self.flow_lines + others >= LINES_A_SECOND:
                 return False
-            self.costly += 1
+            self.costly_lines += 1
         elif event in ROUTINE_EVENTS:
-            room = FLOW_LINES if is_sampled(flow) else ANY_FLOW_LINES
-            if self.followed >= room:
+            max_lines = (
+                MAX_FLOW_LINES if is_sampled(flow) else MAX_UNSAMPLED_FLOW_LINES
+            )
+            if self.flow_lines >= max_lines:
                 return False
-            self.followed += 1
+            self.flow_lines += 1
         else:
-            if others >= OTHER_LINES or self.others[event] >= LINES_A_KIND:
+            if (
+                others >= MAX_OTHER_LINES
+                or self.other_lines[event] >= MAX_LINES_PER_EVENT
+            ):
                 return False
-            self.others[event] += 1
+            self.other_lines[event] += 1
         return True
 
-    def _tell_dropped(self) -> None:
+    def _log_dropped(self) -> None:
         if not self.dropped:
             return
         dropped = dict(self.dropped)
@@ -115,23 +124,23 @@
         try:
             self.write(msgspec.json.encode(line, enc_hook=str) + b"\n")
         except OSError:
-            # The reader does not keep up; the next line that gets through
-            # tells how many were lost.
+            # The reader does not keep up. A later line reports how many lines
+            # were lost.
             self.dropped[event] += 1
 
 
 def is_sampled(flow: str) -> bool:
-    """Tells whether the lines of a flow are kept longest; alike on every host.
+    """Returns whether a flow is sampled, which is the same on every host.
 
     Examples:
         >>> is_sampled("")
         False
     """
-    return bool(flow) and zlib.crc32(flow.encode()) % SAMPLED_OF == 0
+    return bool(flow) and zlib.crc32(flow.encode()) % FLOWS_PER_SAMPLE == 0
 
 
 def write_to_stdout(line: bytes) -> None:
-    """Writes to standard output without ever waiting for its reader.
+    """Writes to standard output without waiting for its reader.
 
     Raises:
         OSError: The reader does not keep up; nothing useful was written.
@@ -140,7 +149,7 @@
 
 
 def flow_text(flow: bytes) -> str:
-    """Returns a flow's key as people write it: caller to service address.
+    """Returns a flow's key as text: address of the caller, then the service's.
 
     Examples:
         >>> flow_text(bytes.fromhex("6440000a9c41c612000101bb"))
--- a/notchhoist/daemon/flow_metrics.py
+++ b/notchhoist/daemon/flow_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of the opaque-flow daemons in the usual text format.
+"""Metrics of the opaque-flow daemons in the Prometheus text format.
 
-Written by hand: ``prometheus_client`` takes 0.1 s of processor time to load,
-and a counter is one line.
+They are formatted here because ``prometheus_client`` takes 0.1 s of processor
+time to load, and a counter is one line.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     from notchhoist.flows.balancer.node import BalancerNode
 
 METRICS_PORT = 9464
-"""Port of the metrics; ``deploy/system.toml`` names it too."""
+"""Port of the metrics; the same as in ``deploy/system.toml``."""
 
 METRICS_PATH = "/metrics"
 
@@ -30,13 +30,13 @@
     now: float,
     link: LinkScheduler,
 ) -> str:
-    """Returns counters and gauges of a node.
+    """Returns the counters, gauges and histograms of a node.
 
     Args:
         node: The node.
-        balances: It is a balancer.
+        balances: Whether the node is a balancer.
         now: Runtime clock, seconds.
-        link: What leaves the host.
+        link: Scheduler of the datagrams that leave the host.
     """
     board = node.board
     lines = ["# TYPE notchhoist_events counter"]
@@ -79,18 +79,19 @@
 
 
 def _round_trips(distances: Distances) -> list[str]:
-    """Returns the round trips by zone, as far as they are known."""
+    """Returns the round-trip times by zone, as far as they are known."""
     known = {
-        zone: trips.estimate_s
-        for zone, trips in sorted(distances.by_zone.items())
-        if trips.estimate_s < float("inf")
+        zone: round_trips.estimate_s
+        for zone, round_trips in sorted(distances.by_zone.items())
+        if round_trips.estimate_s < float("inf")
     }
     if not known:
         return []
     name = "notchhoist_round_trip_seconds"
     lines = [f"# TYPE {name} gauge"]
     return lines + [
-        f'{name}{{zone="{zone}"}} {trip_s:g}' for zone, trip_s in known.items()
+        f'{name}{{zone="{zone}"}} {round_trip_s:g}'
+        for zone, round_trip_s in known.items()
     ]
 
 
@@ -120,21 +121,21 @@
 
 
 def _histograms(histograms: Mapping[Series, Histogram]) -> list[str]:
-    """Returns every histogram, those of one matter under one name."""
+    """Returns all histograms; those of one duration share a metric name."""
     lines: list[str] = []
     for timing in Timing:
-        chosen = [item for item in histograms if item.timing is timing]
-        if not chosen:
+        selected = [item for item in histograms if item.timing is timing]
+        if not selected:
             continue
         name = f"notchhoist_{timing.value}_seconds"
         lines.append(f"# TYPE {name} histogram")
-        for series in chosen:
+        for series in selected:
             labels = f'service="{series.service}",outcome="{series.outcome}"'
-            lines += _series(name, labels, histograms[series])
+            lines += _histogram_lines(name, labels, histograms[series])
     return lines
 
 
-def _series(name: str, labels: str, histogram: Histogram) -> list[str]:
+def _histogram_lines(name: str, labels: str, histogram: Histogram) -> list[str]:
     lines = []
     total = 0
     for bound in BUCKETS_S:
--- a/notchhoist/daemon/flow_pressure.py
+++ b/notchhoist/daemon/flow_pressure.py
@@ -1,4 +1,4 @@
-"""How pressed the services are, as one balancer sees them."""
+"""The section ``pressure`` of the state dump: utilization of each service."""
 
 from collections.abc import Iterator
 
@@ -9,19 +9,19 @@
 def pressure_rows(
     node: BalancerNode, now: float
 ) -> Iterator[dict[str, object]]:
-    """Yields a row for each service.
+    """Yields a row for each service, as far as this balancer knows.
 
-    ``found_busy`` is the smoothed share of attempts that met no free slot;
+    ``found_busy`` is the smoothed share of attempts that found no free slot;
     ``running`` and ``slots`` are sums over the servers that take new flows, by
-    words that are ``load_age_s`` old in the median.
+    load reports with a median age of ``load_age_s``.
     """
     board = node.board
     for service, servers in sorted(board.by_service.items()):
-        open_to = server_selection.outside_evacuated_zones(
+        outside_evacuated = server_selection.outside_evacuated_zones(
             servers, board.view.evacuated
         )
-        takes = server_selection.usable_servers(open_to, now)
-        ages = [now - item.heard_at for item in takes]
+        usable = server_selection.usable_servers(outside_evacuated, now)
+        ages = [now - item.heard_at for item in usable]
         openings = [
             item for item in board.openings.values() if item.service == service
         ]
@@ -29,9 +29,9 @@
             "service": service,
             "zone": board.zone,
             "servers": len(servers),
-            "takes_new_flows": len(takes),
-            "slots": sum(item.entry.slots for item in takes),
-            "running": sum(item.running for item in takes),
+            "takes_new_flows": len(usable),
+            "slots": sum(item.entry.slots for item in usable),
+            "running": sum(item.running for item in usable),
             "found_busy": round(board.busy_shares.share(service), 3),
             "attempts": board.busy_shares.attempts(service),
             "openings": len(openings),
--- a/notchhoist/daemon/flow_runner.py
+++ b/notchhoist/daemon/flow_runner.py
@@ -1,7 +1,7 @@
-"""Makes and runs the daemon on the platform's hosts.
+"""Creates and runs the daemon on the platform's hosts.
 
-Each role's modules are loaded by it alone: a start is paid for in processor
-time, and a host with 0.163 of a core takes 0.8 s for it.
+A process loads only the modules of its own role, because loading takes
+processor time: a start takes 0.8 s on a host with 0.163 of a core.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 def make_daemon(
     settings: HostSettings, loop: Loop, journal: FlowJournal
 ) -> FlowDaemon:
-    """Opens the sockets of a process.
+    """Creates the daemon of a process and opens its sockets.
 
     Raises:
         OSError: An address cannot be bound.
@@ -42,7 +42,7 @@
     else:
         packets = settings.outbound or settings.packets
         node = _make_agent(settings, codec, loop.clock())
-    first = settings.peer_ports[0]
+    first_peer_port = settings.peer_ports[0]
     return FlowDaemon(
         settings=settings,
         loop=loop,
@@ -53,8 +53,8 @@
             loop=loop,
             sockets=(
                 datagrams.open_socket(packets),
-                datagrams.open_socket((settings.bind_ip, first)),
-                datagrams.open_socket((settings.bind_ip, first + 1)),
+                datagrams.open_socket((settings.bind_ip, first_peer_port)),
+                datagrams.open_socket((settings.bind_ip, first_peer_port + 1)),
             ),
             link=make_scheduler(settings.link_mbps),
             records=node.board.records,
@@ -98,10 +98,10 @@
 
 
 def run_host(settings: HostSettings, clock: Clock, wall: Clock) -> None:
-    """Runs a process until it is told to stop.
+    """Runs a process until it gets a request to stop.
 
     Args:
-        settings: What the platform told.
+        settings: Settings from the platform.
         clock: The runtime's clock.
         wall: Time of day.
 
@@ -122,7 +122,7 @@
 
 
 def _read_store(daemon: FlowDaemon, node: BalancerNode) -> None:
-    """Begins to read the platform's store."""
+    """Starts to read the platform's store."""
     from notchhoist.daemon.http_call import HttpCaller
     from notchhoist.daemon.store_calls import StoreCalls
     from notchhoist.flows.published.budget import PropagationBudget
@@ -130,8 +130,10 @@
     from notchhoist.platform.store import StoreReader
 
     settings, loop = daemon.settings, daemon.loop
-    bound_s = min(settings.apply_s, settings.drain_s, settings.evacuate_s)
-    budget = PropagationBudget(bound_s)
+    propagation_deadline_s = min(
+        settings.apply_s, settings.drain_s, settings.evacuate_s
+    )
+    budget = PropagationBudget(propagation_deadline_s)
     node.synchronizer.max_age_s = budget.max_age_s
     draw = make_draw(settings.name)
     reader = StoreReader(draw, budget.watch_s, budget.answer_s)
--- a/notchhoist/daemon/flow_splits.py
+++ b/notchhoist/daemon/flow_splits.py
@@ -1,4 +1,4 @@
-"""Routes that split, as one balancer sees them."""
+"""The section ``splits`` of the state dump: routes with several targets."""
 
 import itertools
 from collections import Counter
@@ -8,35 +8,39 @@
 from notchhoist.flows.balancer.targeting import service_for
 from notchhoist.flows.model.fleet import Route
 
-LOOKED_AT = 5000
-"""The newest flows that are counted, so that the process is not held up."""
+MAX_COUNTED_FLOWS = 5000
+"""Most flows that are counted, the newest ones, so that a dump does not block
+the process for long."""
 
-Tally = dict[bytes, Counter[str]]
+FlowCounts = dict[bytes, Counter[str]]
 
 
 def split_rows(node: BalancerNode, now: float) -> Iterator[dict[str, object]]:
-    """Yields a row for each service of a route that splits, or did.
+    """Yields a row for each service of a route that is split, or was.
 
-    ``share`` is what the weights say, ``share_placed`` what new flows got here
-    since they changed, ``flows`` those that are open here, and ``outlived``
-    those of them that would be placed elsewhere today.
+    ``share`` is the service's share by the weights, ``share_placed`` its share
+    of the new flows that this balancer placed since the weights changed,
+    ``flows`` the number of flows that are open here, and ``outlived`` the
+    number of those that would be placed at another service now.
     """
     table = node.board.table
     if table is None:
         return
-    flows, outlived = _tallies(node, now)
+    flows, outlived = _count_flows(node, now)
     for key, route in table.routes.items():
         if route.is_split or outlived[key]:
-            yield from _rows(node, route, flows[key], outlived[key])
+            yield from _route_rows(node, route, flows[key], outlived[key])
 
 
-def _tallies(node: BalancerNode, now: float) -> tuple[Tally, Tally]:
-    """Returns open flows, and those that outlived a change, by service."""
+def _count_flows(
+    node: BalancerNode, now: float
+) -> tuple[FlowCounts, FlowCounts]:
+    """Counts open flows, and those to be placed elsewhere now, by service."""
     board = node.board
     routes = board.table.routes if board.table else {}
-    flows: Tally = {key: Counter() for key in routes}
-    outlived: Tally = {key: Counter() for key in routes}
-    newest = itertools.islice(reversed(board.flows.items()), LOOKED_AT)
+    flows: FlowCounts = {key: Counter() for key in routes}
+    outlived: FlowCounts = {key: Counter() for key in routes}
+    newest = itertools.islice(reversed(board.flows.items()), MAX_COUNTED_FLOWS)
     for flow, placement in newest:
         key = placement.last.service_key
         if not placement.accepted or key not in routes:
@@ -48,7 +52,7 @@
     return flows, outlived
 
 
-def _rows(
+def _route_rows(
     node: BalancerNode,
     route: Route,
     flows: Counter[str],
@@ -71,5 +75,5 @@
         }
 
 
-def _share(part: int, whole: int) -> float | None:
-    return round(part / whole, 3) if whole else None
+def _share(part: int, total: int) -> float | None:
+    return round(part / total, 3) if total else None
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -1,7 +1,8 @@
-"""The state of an opaque-flow daemon as JSON, page by page, on request.
+"""The state dump of an opaque-flow daemon: JSON pages on request.
 
-Loaded with the first question: a daemon starts without it. The paths and forms
-are those of the CoAP daemons' operator port, so one tool reads both.
+This module is loaded by the first request, not at the start of a daemon. Paths
+and formats are those of the operator port of CoAP daemons, so that one tool
+reads both.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -24,8 +25,8 @@
 
 HEALTH_PATH = "/health"
 DUMP_PATH = "/dump/"
-PAGE_MAX = 500
-"""Most entries in an answer: about 100 KB."""
+MAX_PAGE_ENTRIES = 500
+"""Most entries in a reply: about 100 KB."""
 
 Row = dict[str, object]
 Node = BalancerNode | AgentNode
@@ -34,17 +35,17 @@
 def answer_state(
     node: Node, name: str, zone: str, target: str, now: float
 ) -> Reply | None:
-    """Answers a question for a daemon's state.
+    """Answers a request for the state of a daemon.
 
     Args:
-        node: Its node.
+        node: Node of the daemon.
         name: Name of its host.
         zone: Its availability zone.
-        target: Path and query.
+        target: Path and query of the request.
         now: Runtime clock, seconds.
 
     Returns:
-        The answer; None where the path is another matter.
+        The reply; None if the path is not one of the state dump.
     """
     path, _, query = target.partition("?")
     if path == HEALTH_PATH:
@@ -52,16 +53,20 @@
     if not path.startswith(DUMP_PATH):
         return None
     section = path.removeprefix(DUMP_PATH)
-    sections = _BALANCER if isinstance(node, BalancerNode) else _AGENT
-    make = sections.get(section)
-    if make is None:
+    sections = (
+        _BALANCER_SECTIONS
+        if isinstance(node, BalancerNode)
+        else _AGENT_SECTIONS
+    )
+    row_source = sections.get(section)
+    if row_source is None:
         names = " or ".join(sections)
         return _reply(404, {"error": f"section: expected {names}"})
     try:
         offset, limit = _page(query)
     except ValueError as error:
         return _reply(400, {"error": str(error)})
-    rows = list(make(node, now))
+    rows = list(row_source(node, now))
     entries = list(islice(rows, offset, offset + limit))
     page = {"section": section, "total": len(rows), "offset": offset}
     return _reply(200, {**page, "entries": entries})
@@ -72,28 +77,28 @@
 
 
 def _page(query: str) -> tuple[int, int]:
-    """Returns offset and limit.
+    """Returns the offset and the limit of a query.
 
     Examples:
         >>> _page("offset=20&limit=5"), _page("")
         ((20, 5), (0, 500))
 
     Raises:
-        ValueError: One of them is no whole number, or out of its range.
+        ValueError: A parameter is unknown or not a whole number.
     """
-    numbers = {"offset": 0, "limit": PAGE_MAX}
+    numbers = {"offset": 0, "limit": MAX_PAGE_ENTRIES}
     for item in query.split("&") if query else ():
         name, _, text = item.partition("=")
         if name not in numbers or not text.isdecimal():
             raise ValueError(f"{name}: expected a whole number, got {text!r}")
         numbers[name] = int(text)
-    return numbers["offset"], min(numbers["limit"], PAGE_MAX)
+    return numbers["offset"], min(numbers["limit"], MAX_PAGE_ENTRIES)
 
 
 def health(node: Node, name: str, zone: str, now: float) -> Row:
-    """Returns what a daemon says of itself.
+    """Returns the health of a daemon.
 
-    Agents read no configuration, so they have no revision.
+    Agents read no configuration, so their revision is None.
     """
     row: Row = {
         "name": name,
@@ -118,34 +123,38 @@
 
 
 def _age(now: float, at: float) -> float | None:
-    """Returns the time since a moment, seconds; None if it never came."""
+    """Returns the time since a moment, seconds; None if there was none."""
     return round(now - at, 3) if at > float("-inf") else None
 
 
 def _servers(node: BalancerNode, now: float) -> Iterator[Row]:
     for service, servers in node.board.by_service.items():
-        paces = [
+        service_times_ms = [
             item.service_time_ms for item in servers if item.service_time_ms
         ]
-        median_ms = server_selection.median(paces)
-        open_to = server_selection.outside_evacuated_zones(
+        median_ms = server_selection.median(service_times_ms)
+        outside_evacuated = server_selection.outside_evacuated_zones(
             servers, node.board.view.evacuated
         )
-        takes = server_selection.usable_servers(open_to, now)
+        usable = server_selection.usable_servers(outside_evacuated, now)
         for server in servers:
-            size = server_selection.effective_slots(server, median_ms)
-            row = _server_row(server, service, size, server in takes, now)
-            yield row | _bound_row(node, server, now)
+            effective_slots = server_selection.effective_slots(
+                server, median_ms
+            )
+            row = _server_row(
+                server, service, effective_slots, server in usable, now
+            )
+            yield row | _new_flow_limits_row(node, server, now)
 
 
-def _bound_row(node: BalancerNode, server: Server, now: float) -> Row:
-    """Returns why a server may get few new flows, or none."""
+def _new_flow_limits_row(node: BalancerNode, server: Server, now: float) -> Row:
+    """Returns the columns that say why a server gets few or no new flows."""
     board = node.board
-    left_s = states.cold_until(board, server) - now
+    cold_left_s = states.cold_until(board, server) - now
     return {
         "evacuated": states.is_evacuated(board, server),
         "bears_per_s": states.cold_bound_per_s(board, server, now) or None,
-        "cold_for_s": round(left_s, 3) if left_s > 0 else 0.0,
+        "cold_for_s": round(cold_left_s, 3) if cold_left_s > 0 else 0.0,
         "full_for_s": max(0.0, round(server.at_cold_bound_until - now, 3)),
         "born_ms": server.entry.born_ms or None,
         "reborn": server.is_restart,
@@ -153,7 +162,7 @@
 
 
 def _zones(node: BalancerNode, now: float) -> Iterator[Row]:
-    """Yields the zones that are or were evacuated."""
+    """Yields a row for each zone that is or was evacuated."""
     view = node.board.view
     for zone, state in sorted(node.board.zones.items()):
         since = state.evacuated_at
@@ -167,7 +176,11 @@
 
 
 def _server_row(
-    server: Server, service: str, size: float, takes_new: bool, now: float
+    server: Server,
+    service: str,
+    effective_slots: float,
+    takes_new: bool,
+    now: float,
 ) -> Row:
     entry = server.entry
     return {
@@ -182,7 +195,7 @@
         "flows": server.flows,
         "running": server.running,
         "pace_ms": server.service_time_ms,
-        "counts_as_slots": round(size, 2),
+        "counts_as_slots": round(effective_slots, 2),
         "load_age_s": _age(now, server.heard_at),
         "suspected": server.suspected,
         "lost": server.lost,
@@ -236,16 +249,16 @@
         yield {"peer": host, "heard_s": _age(now, heard_at)}
 
 
-def _held(node: AgentNode, now: float) -> Iterator[Row]:
-    for flow, held in node.board.flows.items():
+def _agent_flows(node: AgentNode, now: float) -> Iterator[Row]:
+    for flow, agent_flow in node.board.flows.items():
         yield {
             "flow": flow_text(flow),
-            "phase": held.phase.value,
-            "balancer": held.balancer,
-            "idle_s": _age(now, held.last_at),
+            "phase": agent_flow.phase.value,
+            "balancer": agent_flow.balancer,
+            "idle_s": _age(now, agent_flow.last_at),
             "running_s": None
-            if held.running_since is None
-            else _age(now, held.running_since),
+            if agent_flow.running_since is None
+            else _age(now, agent_flow.running_since),
         }
 
 
@@ -274,11 +287,11 @@
         "told_ms": load.service_time_ms,
         "failing": round(node.request_gate.answer_times.failing, 3),
         "gone": board.backend_gone,
-    } | _told_row(node, now)
+    } | _reported_state_row(node, now)
 
 
-def _told_row(node: AgentNode, now: float) -> Row:
-    """Returns what balancers have told of the backend server."""
+def _reported_state_row(node: AgentNode, now: float) -> Row:
+    """Returns the columns of what balancers reported of the backend server."""
     board = node.board
     state, since = board.state, board.evacuated_since
     cold_s = max(0.0, round(board.cold_until - now, 3))
@@ -294,7 +307,7 @@
     }
 
 
-def _agents_heard(node: AgentNode, now: float) -> Iterator[Row]:
+def _known_balancers(node: AgentNode, now: float) -> Iterator[Row]:
     for host, heard_at in node.board.balancers.items():
         yield {"peer": host, "heard_s": _age(now, heard_at)}
 
@@ -323,9 +336,9 @@
         }
 
 
-Make = Callable[..., Iterable[Row]]
+RowSource = Callable[..., Iterable[Row]]
 
-_BALANCER: dict[str, Make] = {
+_BALANCER_SECTIONS: dict[str, RowSource] = {
     "servers": _servers,
     "flows": _placements,
     "services": _routes,
@@ -338,11 +351,11 @@
     "counters": _counters,
     "decisions": _decisions,
 }
-_AGENT: dict[str, Make] = {
+_AGENT_SECTIONS: dict[str, RowSource] = {
     "backend": _backend,
-    "flows": _held,
+    "flows": _agent_flows,
     "requests": _waiting,
-    "peers": _agents_heard,
+    "peers": _known_balancers,
     "counters": _counters,
     "decisions": _decisions,
 }
--- a/notchhoist/daemon/tests/test_decision_groups.py
+++ b/notchhoist/daemon/tests/test_decision_groups.py
@@ -1,29 +1,31 @@
-"""One line a view: what is told of many servers at once is one line."""
+"""Tests that decisions on many servers at once become one log line."""
 
 from notchhoist.daemon.decision_groups import (
-    GROUP_FROM,
-    NAMES_A_LINE,
-    grouped,
+    MAX_NAMES_PER_OUTCOME,
+    MIN_GROUP_SIZE,
+    group_decisions,
 )
 from notchhoist.flows.model.records import Decision
 
 
-def server(number, outcome="ready"):
+def server_decision(number, outcome="ready"):
     inputs = {"server": f"s{number}", "revision": 10 + number}
     return Decision("server", b"", inputs, outcome)
 
 
-def test_a_few_servers_keep_their_lines():
-    row = [server(n) for n in range(GROUP_FROM - 1)]
-    assert grouped(row) == row
+def test_few_decisions_are_not_merged():
+    run = [server_decision(n) for n in range(MIN_GROUP_SIZE - 1)]
+    assert group_decisions(run) == run
 
 
-def test_many_are_one_line_by_outcome_with_the_newest_revision():
-    row = [server(n) for n in range(60)] + [server(70, "draining")]
+def test_many_decisions_are_merged_by_outcome_with_the_newest_revision():
+    run = [server_decision(n) for n in range(60)] + [
+        server_decision(70, "draining")
+    ]
     other = Decision("reset", b"f", {}, "no route")
-    line, last = grouped([*row, other])
+    line, last = group_decisions([*run, other])
     assert (line.event, line.outcome) == ("servers", "61 changed")
-    assert len(line.inputs["ready"]) == NAMES_A_LINE
+    assert len(line.inputs["ready"]) == MAX_NAMES_PER_OUTCOME
     assert line.inputs["draining"] == ["s70"]
     assert (line.inputs["left_out"], line.inputs["revision"]) == (20, 80)
     assert last is other
--- a/notchhoist/daemon/tests/test_flow_journal.py
+++ b/notchhoist/daemon/tests/test_flow_journal.py
@@ -1,30 +1,30 @@
-"""Logs of the opaque-flow daemons: bounded, and never blocking."""
+"""Tests of the log writer: limits per second, and writing without blocking."""
 
 import json
 
 from notchhoist.daemon.flow_journal import (
-    ANY_FLOW_LINES,
-    FLOW_LINES,
-    LINES_A_KIND,
     LINES_A_SECOND,
-    OTHER_LINES,
+    MAX_FLOW_LINES,
+    MAX_LINES_PER_EVENT,
+    MAX_OTHER_LINES,
+    MAX_UNSAMPLED_FLOW_LINES,
     FlowJournal,
     is_sampled,
 )
 
-FORMER_LINES = 100
-"""What cost no caller anything could take so many lines before."""
+COSTLESS_LINES = 100
+"""Most lines a second of all events that cost no caller anything."""
 
 
 class Reader:
-    """Takes lines, or refuses them like a full pipe."""
+    """Collects lines, or raises an error as a full pipe does."""
 
     def __init__(self):
         self.lines = []
-        self.stuck = False
+        self.blocked = False
 
     def write(self, line):
-        if self.stuck:
+        if self.blocked:
             raise BlockingIOError
         self.lines.append(json.loads(line))
 
@@ -41,84 +41,98 @@
     assert (line["clock"], line["flow"]) == (1.5, "f")
 
 
-def test_a_storm_is_cut_and_what_is_dropped_is_counted_by_kind():
+def test_lines_beyond_the_limit_are_dropped_and_counted_by_event():
     reader, now = Reader(), [10.0]
-    made = journal(reader, now)
+    log_writer = journal(reader, now)
     for _ in range(LINES_A_SECOND + 30):
-        made.log("reset")
+        log_writer.log("reset")
     assert len(reader.lines) == LINES_A_SECOND
     now[0] += 1.0
-    made.log("place")
+    log_writer.log("place")
     assert reader.lines[-2]["dropped"] == {"reset": 30}
 
 
-def test_a_reader_that_stops_costs_lines_and_never_waits():
+def test_a_blocked_reader_loses_lines_but_does_not_block_the_writer():
     reader, now = Reader(), [10.0]
-    made = journal(reader, now)
-    reader.stuck = True
+    log_writer = journal(reader, now)
+    reader.blocked = True
     for _ in range(5):
-        made.log("reset")
-    reader.stuck = False
+        log_writer.log("reset")
+    reader.blocked = False
     now[0] += 1.0
-    made.log("place")
+    log_writer.log("place")
     assert reader.lines[0]["dropped"] == {"reset": 5}
 
 
-def test_values_that_json_does_not_know_are_written_as_text():
+def test_values_without_a_json_form_are_written_as_text():
     reader = Reader()
     journal(reader, [0.0]).log("reset", reason=ValueError("x"))
     assert reader.lines[0]["reason"] == "x"
 
 
-def test_an_input_never_hides_whose_line_it_is():
-    """Lines about a server named its host as that of the process."""
+def test_an_input_does_not_replace_the_host_of_a_line():
+    """An input named host must not replace the host of the process.
+
+    Lines about a server named the host of the server as that of the process.
+    """
     reader = Reader()
     journal(reader, [0.0]).log("server", host="10.0.0.9")
     assert reader.lines[0]["host"] == "h"
     assert reader.lines[0]["input_host"] == "10.0.0.9"
 
 
-def test_what_cost_a_caller_something_is_never_crowded_out():
-    """The lines of failed requests were dropped behind those of servers."""
+def test_costly_decisions_keep_their_share_of_lines():
+    """Lines about servers must not use up the limit of failed requests.
+
+    Lines of failed requests were dropped because lines about servers came
+    first.
+    """
     reader, now = Reader(), [10.0]
-    made = journal(reader, now)
+    log_writer = journal(reader, now)
     for number in range(500):
-        made.log("place", flow=f"f{number}")
-        made.log(f"event {number}")
-    for number in range(LINES_A_SECOND - FORMER_LINES):
-        made.log("reset", flow=f"f{number}")
+        log_writer.log("place", flow=f"f{number}")
+        log_writer.log(f"event {number}")
+    for number in range(LINES_A_SECOND - COSTLESS_LINES):
+        log_writer.log("reset", flow=f"f{number}")
     events = [line["message_type"] for line in reader.lines]
-    assert events.count("reset") == LINES_A_SECOND - FORMER_LINES
+    assert events.count("reset") == LINES_A_SECOND - COSTLESS_LINES
     assert len(events) <= LINES_A_SECOND
 
 
 def test_every_host_keeps_the_lines_of_the_same_flows():
     kept = []
     unsampled = next(f"g{n}" for n in range(9) if not is_sampled(f"g{n}"))
-    for busy in (ANY_FLOW_LINES, ANY_FLOW_LINES + 7):
+    for earlier_lines in (
+        MAX_UNSAMPLED_FLOW_LINES,
+        MAX_UNSAMPLED_FLOW_LINES + 7,
+    ):
         reader = Reader()
-        made = journal(reader, [10.0])
-        for _ in range(busy):
-            made.log("place", flow=unsampled)
+        log_writer = journal(reader, [10.0])
+        for _ in range(earlier_lines):
+            log_writer.log("place", flow=unsampled)
         reader.lines.clear()
         for number in range(100):
-            made.log("place", flow=f"f{number}")
+            log_writer.log("place", flow=f"f{number}")
         kept.append([line["flow"] for line in reader.lines if "flow" in line])
     assert kept[0] == kept[1]
     assert all(is_sampled(flow) for flow in kept[0])
     assert kept[0]
 
 
-def test_lines_of_the_fleet_leave_room_for_those_of_flows():
-    """One host dropped the lines of 840 placements behind those of servers."""
+def test_fleet_events_do_not_use_up_the_lines_of_flows():
+    """Lines about servers must not use up the limit of lines about flows.
+
+    One host dropped the lines of 840 placements because lines about servers
+    came first.
+    """
     reader = Reader()
-    made = journal(reader, [10.0])
+    log_writer = journal(reader, [10.0])
     for event in ("server", "suspect", "agent regained"):
         for _ in range(200):
-            made.log(event)
+            log_writer.log(event)
     for number in range(2000):
-        made.log("find", flow=f"f{number}")
+        log_writer.log("find", flow=f"f{number}")
     events = [line["message_type"] for line in reader.lines]
-    assert events.count("server") == LINES_A_KIND
-    assert events.count("find") == FLOW_LINES
-    assert len(events) == OTHER_LINES + FLOW_LINES <= FORMER_LINES
+    assert events.count("server") == MAX_LINES_PER_EVENT
+    assert events.count("find") == MAX_FLOW_LINES
+    assert len(events) == MAX_OTHER_LINES + MAX_FLOW_LINES <= COSTLESS_LINES
--- a/notchhoist/daemon/tests/test_flow_processes.py
+++ b/notchhoist/daemon/tests/test_flow_processes.py
@@ -1,4 +1,4 @@
-"""The daemon as real processes: a balancer, an agent, and small stand-ins."""
+"""Tests of real processes: a balancer and an agent, with simulated peers."""
 
 import contextlib
 import json
@@ -38,15 +38,15 @@
 SERVICE = ("198.18.0.1", 443)
 WAIT_S = 20.0
 POLL_S = 0.05
-PAUSE = threading.Event()
+NEVER_SET = threading.Event()
 
 
 def wait_for(check):
-    """Waits for something true; the bound is only there to end a failure."""
+    """Waits until a check returns a true value; fails after ``WAIT_S``."""
     for _ in range(int(WAIT_S / POLL_S)):
         if value := check():
             return value
-        PAUSE.wait(POLL_S)
+        NEVER_SET.wait(POLL_S)
     raise AssertionError(f"{check} stayed false")
 
 
@@ -56,7 +56,7 @@
         "datagram_addr": f"{ip}:{PORTS['packets']}",
         "ready": f"{ip}:{PORTS['ready']}",
     }
-    made = {
+    document = {
         "node": f"{role}-1",
         "serves": [role],
         "ip": ip,
@@ -70,8 +70,8 @@
     }
     if role == "side":
         listen["outbound"] = f"{ip}:{PORTS['outbound']}"
-        made.update(app=f"{ip}:{PORTS['app']}", service="hallbook")
-    return made
+        document.update(app=f"{ip}:{PORTS['app']}", service="hallbook")
+    return document
 
 
 def start(path):
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    """A balancer and an agent, started, with what they need around them."""
+    """A running balancer and agent, and a store with a route and a server."""
     import random
 
     model = StoreModel(random.Random(1))
@@ -145,7 +145,7 @@
 
 @pytest.fixture
 def sockets():
-    """The caller's socket and the backend server's."""
+    """The sockets of the caller and of the backend server."""
     caller = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     caller.bind((CALLER, PORTS["packets"]))
     server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -175,12 +175,12 @@
     assert 'notchhoist_events_total{event="placed"} 1' in text
 
 
-def test_garbage_on_every_port_is_survived(fleet, sockets):
+def test_malformed_input_on_every_port_does_not_end_a_process(fleet, sockets):
     caller, server = sockets
     for host in (BALANCER, AGENT):
         wait_for(lambda host=host: status(host)[0] == 200)
-    noise = [b"", b"x", b"\xff" * 31, b"\0" * 64, os.urandom(1400)]
-    for text in noise:
+    malformed = [b"", b"x", b"\xff" * 31, b"\0" * 64, os.urandom(1400)]
+    for text in malformed:
         for host in (BALANCER, AGENT):
             for port in (PORTS["packets"], PEERS[0], PEERS[0] + 1):
                 caller.sendto(text, (host, port))
@@ -194,14 +194,14 @@
         assert status(host)[0] == 200
 
 
-def test_a_planned_stop_says_so_to_the_routers_and_ends_well(fleet):
+def test_a_planned_stop_fails_the_readiness_check_and_exits_with_0(fleet):
     wait_for(lambda: status(BALANCER)[0] == 200)
     fleet["front"].send_signal(signal.SIGTERM)
     wait_for(lambda: status(BALANCER)[0] == 503)
     assert fleet["front"].wait(WAIT_S) == 0
 
 
-def test_a_reload_with_a_bad_file_keeps_the_process(fleet, tmp_path):
+def test_a_reload_of_an_invalid_file_does_not_end_the_process(fleet, tmp_path):
     wait_for(lambda: status(BALANCER)[0] == 200)
     (tmp_path / "front.json").write_text("{")
     fleet["front"].send_signal(signal.SIGHUP)
@@ -212,7 +212,7 @@
     assert reload_line["outcome"] == "refused"
 
 
-def test_bad_settings_end_the_process_with_a_reason(tmp_path):
+def test_invalid_settings_end_the_process_with_a_reason(tmp_path):
     path = tmp_path / "bad.json"
     path.write_text('{"serves": []}')
     process = subprocess.run(
@@ -226,7 +226,7 @@
     assert b"serves" in process.stderr
 
 
-def test_settings_that_change_without_a_signal_are_read(fleet, tmp_path):
+def test_settings_that_change_without_a_signal_are_reloaded(fleet, tmp_path):
     wait_for(lambda: status(BALANCER)[0] == 200)
     path = tmp_path / "front.json"
     changed = {**json.loads(path.read_text()), "seeds": ["127.9.0.9:1"]}
@@ -236,7 +236,7 @@
 
 
 def read_until(process, event):
-    """Returns the next log line of an event."""
+    """Returns the next log line of an event; None at the end of the output."""
     for text in process.stdout:
         line = json.loads(text)
         if line["message_type"] == event:
@@ -244,7 +244,7 @@
     return None
 
 
-def check(path):
+def run_check(path):
     return subprocess.run(
         [sys.executable, "-m", "notchhoist.daemon", "--check"],
         env={**os.environ, "NOTCHHOIST_NODE_FILE": str(path)},
@@ -257,9 +257,9 @@
 def test_settings_can_be_checked_without_a_start(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(settings("front", 1)))
-    assert check(path).returncode == 0
+    assert run_check(path).returncode == 0
     path.write_text(json.dumps({**settings("front", 1), "zone": 3, "ip": ""}))
-    refused = check(path)
+    refused = run_check(path)
     assert refused.returncode == 2
     assert [b"zone" in refused.stderr, b"ip" in refused.stderr] == [True, True]
 
@@ -267,23 +267,23 @@
 @pytest.fixture
 def reader():
     daemons = (model.Endpoint(BALANCER, 9464), model.Endpoint(AGENT, 9464))
-    told = OperatorSettings("no key on this path", daemons)
+    operator_settings = OperatorSettings("no key on this path", daemons)
     with httpx.Client(trust_env=False, timeout=5.0) as client:
-        yield FleetReader(told, client)
+        yield FleetReader(operator_settings, client)
 
 
-def ask_tool(reader, capsys, text):
-    """Returns what a statement prints, and its status."""
+def run_tool(reader, capsys, text):
+    """Returns the exit code of a statement and what it prints."""
     command = tool.Command(settings=None, json=True)
     code = tool.execute(command, text, reader)
     return code, capsys.readouterr().out
 
 
 def rows(reader, capsys, text):
-    return json.loads(ask_tool(reader, capsys, text)[1])
+    return json.loads(run_tool(reader, capsys, text)[1])
 
 
-def test_the_tool_tells_why_a_flow_is_where_it_is(
+def test_the_tool_explains_the_placement_of_a_flow(
     fleet, sockets, reader, capsys
 ):
     caller, server = sockets
@@ -314,13 +314,18 @@
     assert (shown["server"], shown["failing"]) == ("i-1", 0.0)
     [balancer] = rows(reader, capsys, "show revisions")
     assert (balancer["revision"], balancer["refused"]) == (3, "")
-    code, text = ask_tool(reader, capsys, "wait until revision 3 for 5 s")
+    code, text = run_tool(reader, capsys, "wait until revision 3 for 5 s")
     assert (code, "in force everywhere" in text) == (0, True)
     assert rows(reader, capsys, "show counters where counter = placed")
-    asked = "show counters where counter = offered_if_free"
-    assert rows(reader, capsys, asked)
-    [pressed] = rows(reader, capsys, "show pressure order by found_busy desc")
-    assert (pressed["service"], pressed["found_busy"]) == ("hallbook", 0.0)
+    statement = "show counters where counter = offered_if_free"
+    assert rows(reader, capsys, statement)
+    [utilization] = rows(
+        reader, capsys, "show pressure order by found_busy desc"
+    )
+    assert (utilization["service"], utilization["found_busy"]) == (
+        "hallbook",
+        0.0,
+    )
     assert not rows(reader, capsys, "show splits order by outlived desc")
     [measured] = rows(reader, capsys, 'show distances where long_for = ""')
     assert measured["answers"] >= 1
@@ -337,14 +342,17 @@
     assert (row["reason"], row["version"]) == ("no route", 3)
 
 
-def test_a_wrong_question_for_state_is_refused_by_name(fleet):
+def test_an_invalid_request_for_state_is_refused(fleet):
     wait_for(lambda: status(BALANCER)[0] == 200)
     assert status(BALANCER, "/dump/nothing", 9464)[0] == 404
     assert status(BALANCER, "/dump/flows?limit=many", 9464)[0] == 400
 
 
-def test_a_reload_before_the_start_is_over_does_not_end_the_process():
-    """Daemons that had just been started were ended by SIGHUP (soak 244)."""
+def test_a_reload_signal_during_the_start_does_not_end_the_process():
+    """A reload signal must not end a process that has just been started.
+
+    SIGHUP ended daemons before their handler was installed.
+    """
     code = (
         "import notchhoist.daemon.__main__, os, signal;"
         "os.kill(os.getpid(), signal.SIGHUP); print('alive')"
--- a/notchhoist/daemon/tests/test_flow_state.py
+++ b/notchhoist/daemon/tests/test_flow_state.py
@@ -1,4 +1,4 @@
-"""What a daemon says of evacuated zones, cold servers and starts."""
+"""Tests of the state dump: zones, servers, utilization, splits, distances."""
 
 import json
 
@@ -22,7 +22,7 @@
     return json.loads(reply.body)["entries"]
 
 
-def test_a_balancer_shows_zones_and_what_cold_servers_bear():
+def test_a_balancer_shows_zones_and_cold_bounds():
     node = make_balancer("a", CODEC, "seed", "10.0.1.1")
     bound = ColdBound(crafting.SERVICE, 6.0, 2.0)
     routes = crafting.table().routes
@@ -50,7 +50,7 @@
     assert second["takes_new_flows"] is True
 
 
-def test_an_agent_shows_what_it_was_told_and_what_is_left_of_the_bound():
+def test_an_agent_shows_reported_state_and_use_of_its_cold_bound():
     node = make_agent(
         crafting.SERVICE, CODEC, 0.0, limits=OpeningLimits(5.0, 1.5, 5)
     )
@@ -63,7 +63,7 @@
     assert row["evacuated_s"] is None
 
 
-def test_a_balancer_shows_how_pressed_a_service_is():
+def test_a_balancer_shows_the_utilization_of_a_service():
     node = make_balancer("a", CODEC, "seed", "10.0.1.1")
     node.fleet.tables.on_table(crafting.table(), 1)
     listed = [(entry(1), 1), (entry(2), 1), (entry(3, draining=True), 1)]
@@ -78,10 +78,10 @@
     assert row["load_age_s"] is None
 
 
-def test_a_balancer_shows_splits_and_flows_that_outlived_a_change():
+def test_a_balancer_shows_splits_and_flows_placed_before_a_change():
     node = make_balancer("a", CODEC, "seed", "10.0.1.1")
-    halves = crafting.route(targets=(("hallbook", 1), ("scoredrop", 1)))
-    node.fleet.tables.on_table(crafting.table(routes=[halves]), 1)
+    split_route = crafting.route(targets=(("hallbook", 1), ("scoredrop", 1)))
+    node.fleet.tables.on_table(crafting.table(routes=[split_route]), 1)
     listed = [(entry(1), 1), (entry(2, service="scoredrop"), 1)]
     node.fleet.on_listing(listed, 1, 0.0)
     node.on_published(0.0)
@@ -102,27 +102,37 @@
     )
 
 
-def test_a_balancer_shows_how_far_zones_are():
+def test_a_balancer_shows_round_trip_times_to_zones():
     node = make_balancer("a", CODEC, "seed", "10.0.1.1")
     node.fleet.tables.on_table(crafting.table(), 1)
     node.fleet.on_listing([(entry(1), 1), (entry(2, "b"), 1)], 1, 0.0)
-    near, far = node.board.servers.values()
-    near.service_time_ms = far.service_time_ms = 15
+    local, remote = node.board.servers.values()
+    local.service_time_ms = remote.service_time_ms = 15
     for number in range(8):
-        node.health.distances.add_sample(near, 0.0, 0.0004)
+        node.health.distances.add_sample(local, 0.0, 0.0004)
         if number == 0:
-            node.health.distances.add_sample(far, 0.0, 0.01)
-    own, other = dump(node, "distances", 1.0)
-    assert (own["zone"], own["round_trip_ms"], own["long_for"]) == (
+            node.health.distances.add_sample(remote, 0.0, 0.01)
+    local_zone, remote_zone = dump(node, "distances", 1.0)
+    assert (
+        local_zone["zone"],
+        local_zone["round_trip_ms"],
+        local_zone["long_for"],
+    ) == (
         "a",
         0.4,
         "",
     )
-    assert (other["round_trip_ms"], other["answers"]) == (None, 1)
+    assert (remote_zone["round_trip_ms"], remote_zone["answers"]) == (None, 1)
     for _ in range(8):
-        node.health.distances.add_sample(far, 0.0, 0.01)
-    _, other = dump(node, "distances", 1.01)
-    assert (other["round_trip_ms"], other["beyond_own_ms"]) == (10.0, 9.6)
-    assert (other["measured_s"], other["long_for"]) == (1.0, crafting.SERVICE)
+        node.health.distances.add_sample(remote, 0.0, 0.01)
+    _, remote_zone = dump(node, "distances", 1.01)
+    assert (remote_zone["round_trip_ms"], remote_zone["beyond_own_ms"]) == (
+        10.0,
+        9.6,
+    )
+    assert (remote_zone["measured_s"], remote_zone["long_for"]) == (
+        1.0,
+        crafting.SERVICE,
+    )
     text = metrics_text(node, True, 1.0, make_scheduler(0.0))
     assert 'notchhoist_round_trip_seconds{zone="b"} 0.01' in text
