--- a/notchhoist/daemon/decision_groups.py
+++ b/notchhoist/daemon/decision_groups.py
@@ -60,12 +60,12 @@
         outcome: names[:MAX_NAMES_PER_OUTCOME]
         for outcome, names in names_by_outcome.items()
     }
-    omitted = sum(
+    left_out = sum(
         max(0, len(item) - MAX_NAMES_PER_OUTCOME)
         for item in names_by_outcome.values()
     )
-    if omitted:
-        inputs["left_out"] = omitted
+    if left_out:
+        inputs["left_out"] = left_out
     revisions = [decision.inputs.get("revision") for decision in run]
     inputs["revision"] = max(
         (item for item in revisions if isinstance(item, int)), default=0
--- a/notchhoist/daemon/flow_splits.py
+++ b/notchhoist/daemon/flow_splits.py
@@ -75,5 +75,5 @@
         }
 
 
-def _share(part: int, total: int) -> float | None:
-    return round(part / total, 3) if total else None
+def _share(part: int, whole: int) -> float | None:
+    return round(part / whole, 3) if whole else None
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -138,11 +138,9 @@
         )
         usable = server_selection.usable_servers(outside_evacuated, now)
         for server in servers:
-            effective_slots = server_selection.effective_slots(
-                server, median_ms
-            )
+            counted_slots = server_selection.effective_slots(server, median_ms)
             row = _server_row(
-                server, service, effective_slots, server in usable, now
+                server, service, counted_slots, server in usable, now
             )
             yield row | _new_flow_limits_row(node, server, now)
 
@@ -178,7 +176,7 @@
 def _server_row(
     server: Server,
     service: str,
-    effective_slots: float,
+    counted_slots: float,
     takes_new: bool,
     now: float,
 ) -> Row:
@@ -195,7 +193,7 @@
         "flows": server.flows,
         "running": server.running,
         "pace_ms": server.service_time_ms,
-        "counts_as_slots": round(effective_slots, 2),
+        "counts_as_slots": round(counted_slots, 2),
         "load_age_s": _age(now, server.heard_at),
         "suspected": server.suspected,
         "lost": server.lost,
