--- a/notchhoist/daemon/flow_daemon.py
+++ b/notchhoist/daemon/flow_daemon.py
@@ -1,7 +1,7 @@
 """The daemon on the platform's hosts, in both roles, on the small event loop.
 
-The sockets are opened before any module is loaded that is not needed for them,
-so that a restarted process serves as early as possible.
+Modules that are not needed at once are loaded after the sockets are opened, so
+that a restarted process serves as early as possible.
 """
 
 import os
