--- a/notchhoist/platform/__init__.py
+++ b/notchhoist/platform/__init__.py
@@ -1,19 +1,18 @@
-"""Everything that knows the platform's names and formats, and nothing else.
+"""Translates the platform's protocol; no other package knows its formats.
 
-From the top down; each module imports only those above it:
+Each module imports only modules that stand above it in this list:
 
-* ``checking``: fields of decoded JSON, with errors that name the place.
-* ``packets``: the packets of flows.
-* ``documents``: the configuration and the backend servers' entries.
-* ``eras``: which state of the store an answer is of.
-* ``settings``: the settings file of a process.
-* ``changes``: what watches on the store have told.
-* ``calls``: a call to the store, and how long it may take.
-* ``store``: which call to make next to the platform's store, and what its
-  answers mean.
-* ``unnamed_eras``: restores of a store that does not say so.
-* ``feeding``: when a balancer calls it, and what it then learns.
-* ``readiness``: the question whether a process is ready.
+* ``checking``: validates fields of decoded JSON; errors name the field's place.
+* ``packets``: encodes and decodes the packets of flows.
+* ``documents``: decodes the configuration and the backend servers' entries.
+* ``eras``: reads the era of the store from an answer.
+* ``settings``: reads the settings file of a process.
+* ``changes``: decodes the answers of watches on the store.
+* ``calls``: describes a call to the store and computes its timeouts.
+* ``store``: decides the next call to the store and decodes its answers.
+* ``unnamed_eras``: detects restores of a store whose answers name no era.
+* ``feeding``: decides when a balancer reads the store, and applies the answers.
+* ``readiness``: answers the platform's readiness check.
 
-What the rest of the package gets are the types of ``notchhoist.flows``.
+The rest of the project gets the types of ``notchhoist.flows``.
 """
--- a/notchhoist/platform/calls.py
+++ b/notchhoist/platform/calls.py
@@ -1,51 +1,56 @@
-"""Calls to the platform's store, and how long each may take."""
+"""Calls to the platform's store, their timeouts and the pauses between them."""
 
 from msgspec import Struct
 
 HISTORY_GONE = 410
-"""Status of a watch from a revision that the store does not have."""
+"""HTTP status of a watch from a revision that the store does not have."""
 
 ANSWER_MAX_S = 1.8
-"""Longest time for an answer beyond a watch's time, seconds: a store whose
-answers come late is waited for longer after each failure."""
+"""Longest timeout of a watch's answer beyond the watch time, seconds. The
+timeout grows with each failure, so that a slow store can answer."""
 
-LEAST_WAIT_S = 0.001
-"""A watch from which an answer is wanted at once."""
+MIN_WAIT_S = 0.001
+"""Watch time of a call that the store shall answer at once, seconds."""
 
 CONFIRM_TIMEOUT_S = 0.5
-"""A confirmation that takes longer than this helps nobody, seconds: without it
-the decision falls 0.7 s after the question."""
+"""Timeout of a confirmation, seconds. A later answer is of no use: without a
+confirmation, a flow that every agent reported absent is reset after 0.7 s."""
 
-QUICK_S = 0.2
-QUICK_TRIES = 2
-"""A process that knows nothing serves nobody: where nothing comes it asks anew
-so soon, seconds. Each third call is given the time that a slow store needs;
-calls are priced."""
+SHORT_TIMEOUT_S = 0.2
+SHORT_TIMEOUT_CALLS = 2
+"""Timeout of a listing while the process has no state, seconds, and how many
+consecutive calls have it. A process without state serves no requests, so it
+retries soon. The call after these has the longer timeout that a slow store
+needs; each call has a price."""
 
 LISTING_FIRST_S = 0.5
 LISTING_MAX_S = 4.0
-"""Bounds of the time for a listing. The store answers in 4 ms, in 0.4 s when
-slow; 1,600 routes take 0.7 s over a link of 5 Mbit/s, and are waited for while
-they come in."""
+"""Bounds of the timeout of a listing, seconds. The store answers in 4 ms, or in
+0.4 s when it is slow. A listing of 1,600 routes takes 0.7 s over a link of
+5 Mbit/s; while its answer is arriving, a call may last up to the upper
+bound."""
 
 PAUSE_FIRST_S = 0.1
 PAUSE_MAX_S = 1.0
-"""Bounds of the pause after a failed call, which doubles. Refused calls are
-priced; a second is a third of the bound of a configuration."""
+"""Bounds of the back-off after a failed call, seconds; it doubles with each
+failure. Refused calls have a price too. The upper bound of 1 s is a third of
+the propagation deadline of a configuration."""
 
-GATHER_S = 0.25
-"""Pause after a watch that told something, so that one call tells what comes
-in quick succession; a twelfth of the bound of a configuration."""
+BATCHING_PAUSE_S = 0.25
+"""Pause after a watch that returned changes, seconds, so that one call returns
+changes that follow each other closely. It is a twelfth of the propagation
+deadline of a configuration."""
 
 
 class StoreCall(Struct, frozen=True):
-    """A call to be made.
+    """A GET request to the store.
 
     Attributes:
-        purpose: What it is for, for the metrics.
-        target: Path and query.
-        timeout_s: How long nothing may come, seconds.
-        most_s: How long it may take while its answer comes in, seconds.
+        purpose: Kind of the call, a label in the metrics.
+        target: Path and query of the URL.
+        timeout_s: Timeout while no part of the answer arrives, seconds.
+        most_s: Timeout of the whole call while its answer is arriving, seconds;
+            ``timeout_s`` holds if it is longer.
     """
 
     purpose: str
@@ -54,34 +59,34 @@
     most_s: float = 0.0
 
 
-def listing_timeout_s(knows: bool, failures: int) -> float:
-    """Returns how long a listing may take; patience grows with failures.
+def listing_timeout_s(has_state: bool, failures: int) -> float:
+    """Returns the timeout of a listing, seconds; it grows with the failures.
 
     Args:
-        knows: Anything published is known.
-        failures: Failed calls in a row.
+        has_state: Whether any published state is known.
+        failures: Number of consecutive failed calls.
     """
-    patient, quick = divmod(failures, QUICK_TRIES + 1)
-    if not knows and quick < QUICK_TRIES:
-        return QUICK_S
-    doublings = failures if knows else patient
+    rounds, call_in_round = divmod(failures, SHORT_TIMEOUT_CALLS + 1)
+    if not has_state and call_in_round < SHORT_TIMEOUT_CALLS:
+        return SHORT_TIMEOUT_S
+    doublings = failures if has_state else rounds
     return min(LISTING_MAX_S, LISTING_FIRST_S * 2**doublings)
 
 
 def answer_timeout_s(first_s: float, failures: int) -> float:
-    """Returns how long an answer may take beyond a watch's time, seconds.
+    """Returns the timeout of an answer beyond the watch time, seconds.
 
     Args:
-        first_s: How long after a call that did not fail, seconds.
-        failures: Failed calls in a row.
+        first_s: The timeout after a call that did not fail, seconds.
+        failures: Number of consecutive failed calls.
     """
     return min(ANSWER_MAX_S, first_s * 2**failures)
 
 
 def pause_s(failures: int) -> float:
-    """Returns the longest pause before the next call, seconds.
+    """Returns the longest back-off before the next call, seconds.
 
     Args:
-        failures: Failed calls in a row, without the last one.
+        failures: Number of consecutive failed calls before the last one.
     """
     return min(PAUSE_MAX_S, PAUSE_FIRST_S * 2**failures)
--- a/notchhoist/platform/changes.py
+++ b/notchhoist/platform/changes.py
@@ -1,4 +1,4 @@
-"""What watches on the platform's store have told."""
+"""Decodes the answers of watches on the platform's store."""
 
 from msgspec import Struct
 
@@ -10,35 +10,35 @@
 
 
 class StoreChanges(Struct, frozen=True):
-    """What a watch has told.
+    """The changes that a watch returned.
 
     Attributes:
-        events: What concerns this system.
-        told: There was anything at all.
-        revision: Everything up to this revision is known now.
+        events: Changes of keys that this project uses.
+        has_items: Whether the answer held any change, also of other keys.
+        revision: The answer is complete up to this revision.
     """
 
     events: list[StoreEvent]
-    told: bool
+    has_items: bool
     revision: int
 
 
 def read_changes(fields: Fields, era: int) -> StoreChanges:
-    """Reads what a watch has told.
+    """Reads the changes from the answer of a watch.
 
     Args:
-        fields: Its answer.
-        era: Era of the store that it is of.
+        fields: The decoded answer.
+        era: Era of the store in which it answered.
 
     Raises:
-        FieldError: It is no such answer.
+        FieldError: The answer does not have the format of a watch's answer.
     """
     items = fields.elements("events")
     events = [read_item(place, item, era)[1] for place, item in items]
     count = fields.integer("as_of", 0, MAX_REVISION)
     return StoreChanges(
         events=[event for event in events if event is not None],
-        told=bool(items),
+        has_items=bool(items),
         revision=make_revision(era, count),
     )
 
@@ -47,12 +47,12 @@
     """Reads the answer to a ``confirming_call``.
 
     Args:
-        status: HTTP status.
-        body: Its body.
-        era: Era of the store that it is of.
+        status: HTTP status of the answer.
+        body: Body of the answer.
+        era: Era of the store in which it answered.
 
     Raises:
-        PlatformError: The answer is of no use.
+        PlatformError: The status is not 200 or the body is malformed.
     """
     if status != 200:
         raise PlatformError("confirmation", f"status {status}")
--- a/notchhoist/platform/eras.py
+++ b/notchhoist/platform/eras.py
@@ -1,26 +1,26 @@
-"""Eras of the platform's store: a restore from a copy begins a new one."""
+"""Eras of the platform's store: a restore from a backup starts a new one."""
 
 from collections.abc import Mapping
 
 from notchhoist.platform.checking import FieldError
 
 ERA_HEADER = "store-era"
-"""In each answer of the store; rises by one when it comes back from a copy."""
+"""Header of each answer of the store; each restore from a backup adds one."""
 
 
 def read_era(headers: Mapping[str, str], known: int) -> int:
-    """Reads which era of the store an answer is of.
+    """Reads the era of the store from the headers of an answer.
 
     Args:
-        headers: Headers of the answer, by their names in small letters.
-        known: Era where the answer names none: the last one that is known.
+        headers: Headers of the answer by their names in lower case.
+        known: Last known era; it is returned if the answer names none.
 
     Examples:
         >>> read_era({"store-era": "3"}, 1), read_era({}, 1)
         (3, 1)
 
     Raises:
-        FieldError: The header holds something else than a count.
+        FieldError: The header does not hold a whole number.
     """
     text = headers.get(ERA_HEADER)
     if text is None:
--- a/notchhoist/platform/feeding.py
+++ b/notchhoist/platform/feeding.py
@@ -1,4 +1,4 @@
-"""Feeds a balancer with what the store holds; no I/O."""
+"""Keeps a balancer's view up to date with the platform's store; no I/O."""
 
 from collections.abc import Mapping, Sequence
 from types import MappingProxyType
@@ -16,86 +16,96 @@
 from notchhoist.platform.eras import ERA_HEADER, read_era
 from notchhoist.platform.items import ServersListed, StoreEvent
 from notchhoist.platform.store import StoreReader
-from notchhoist.platform.unnamed_eras import went_back
+from notchhoist.platform.unnamed_eras import shows_older_state
 
-RECONSIDER_S = 0.2
-"""How often a balancer that is told enough looks whether it still is, seconds;
-a fifteenth of the bound of a change."""
+CHECK_INTERVAL_S = 0.2
+"""Interval at which a balancer that gets its view from other balancers checks
+whether it must read the store itself, seconds. It is a fifteenth of the
+propagation deadline of a change."""
 
-RECONSIDER_AT_LEAST_S = 0.01
-"""Least time between two looks where what is known is nearly too old."""
+MIN_CHECK_INTERVAL_S = 0.01
+"""Shortest time between two checks if the view is nearly too old, seconds."""
 
 NO_HEADERS: Mapping[str, str] = MappingProxyType({})
 
-PROBLEMS_KEPT = 200
-"""Fields that were not understood are kept for questions; a page of them."""
+MAX_PROBLEMS = 200
+"""Most problems in published data that are kept for state dumps."""
 
 
 class StoreFeeder(Struct, eq=False):
-    """Decides when to call the store and hands over what it tells.
+    """Decides when to call the store, and applies its answers to a balancer.
 
     Attributes:
         node: The balancer.
         reader: Decides which call is next.
-        lost: The last call had no usable answer.
-        unsure: An outage may have hidden a restore; a list shows whether.
-        named: The last answer named its era, so that no list is needed.
-        asked_from: What was known when the list under way was asked for.
-        called_at: When the call under way was made, the first one of a list,
+        last_call_failed: Whether the last call had no usable answer.
+        restore_possible: The store may have been restored during an outage; a
+            listing shows whether it was.
+        era_named: Whether the last answer named its era. Then no listing is
+            needed to detect a restore.
+        revision_at_listing: Revision of the view when the pending listing was
+            requested.
+        called_at: When the pending call was made, or the first call of the
+            pending listing, seconds.
+        confirmation_sent_at: When the pending confirmation was requested,
             seconds.
-        confirming_since: When the confirmation under way was asked for.
-        reading: Why the last look made a call, or why it did not.
-        confirmed_era: Era of what was known when the confirmation under way was
-            asked for.
+        read_reason: Why the last check led to a call (``reader``, ``stale``)
+            or to none (``told``).
+        confirmation_era: Era of the view when the pending confirmation was
+            requested.
     """
 
     node: BalancerNode
     reader: StoreReader
-    lost: bool = False
-    unsure: bool = False
-    named: bool = False
-    asked_from: int = 0
+    last_call_failed: bool = False
+    restore_possible: bool = False
+    era_named: bool = False
+    revision_at_listing: int = 0
     called_at: float = float("-inf")
-    confirming_since: float = float("-inf")
-    reading: str = ""
-    confirmed_era: int = 0
+    confirmation_sent_at: float = float("-inf")
+    read_reason: str = ""
+    confirmation_era: int = 0
 
     def next_call(self, now: float) -> StoreCall | None:
         """Returns the call to make now.
 
         Returns:
-            None where another balancer tells enough; ``reader.due`` then says
-            when to ask again.
+            None if other balancers keep the view fresh enough;
+            ``reader.due`` is then the time of the next check.
         """
-        needed = self.node.synchronizer.must_read(now)
-        self._note_reading(needed, now)
-        if not needed:
+        must_read = self.node.synchronizer.must_read(now)
+        self._record_read_reason(must_read, now)
+        if not must_read:
             stale_at = self.node.synchronizer.stale_at()
-            soonest = now + RECONSIDER_AT_LEAST_S
-            self.reader.due = min(now + RECONSIDER_S, max(stale_at, soonest))
+            soonest = now + MIN_CHECK_INTERVAL_S
+            self.reader.due = min(
+                now + CHECK_INTERVAL_S, max(stale_at, soonest)
+            )
             return None
         board = self.node.board
         if board.fleet_known:
             self.reader.resume(board.view.revision)
-        if self._is_unsure(now) or self.node.fleet.must_list_again(now):
-            self.reader.list_anew()
+        if self._needs_listing(now) or self.node.fleet.must_list_again(now):
+            self.reader.request_listing()
         if not self.reader.page_after:
-            self.asked_from = board.view.revision
+            self.revision_at_listing = board.view.revision
             self.called_at = now
-        # Its end is to find what is known no older than one whole watch.
-        certain_s = board.confirmed_at + self.reader.watch_s - now
-        return self.reader.next_call(certain_s)
+        # The watch ends before the view is older than one full watch time.
+        max_wait_s = board.confirmed_at + self.reader.watch_s - now
+        return self.reader.next_call(max_wait_s)
 
-    def _note_reading(self, needed: bool, now: float) -> None:
-        """Logs when this balancer begins to read the store, or ends."""
+    def _record_read_reason(self, must_read: bool, now: float) -> None:
+        """Logs when this balancer starts or stops reading the store."""
         reader = self.node.synchronizer.membership.is_reader(now)
-        reading = ("reader" if reader else "stale") if needed else "told"
-        if reading == self.reading:
+        reason = ("reader" if reader else "stale") if must_read else "told"
+        if reason == self.read_reason:
             return
-        self.reading = reading
+        self.read_reason = reason
         clock = self.node.board.confirmed_clock
         by = self.node.board.confirmed_by or None
-        self._decide("reading", reading, confirmed_clock=clock, confirmed_by=by)
+        self._record_decision(
+            "reading", reason, confirmed_clock=clock, confirmed_by=by
+        )
 
     def on_answer(
         self,
@@ -104,148 +114,159 @@
         now: float,
         headers: Mapping[str, str] = NO_HEADERS,
     ) -> None:
-        """Takes an answer of the store.
+        """Handles an answer of the store.
 
         Args:
-            status: HTTP status.
-            body: Its body.
+            status: HTTP status of the answer.
+            body: Body of the answer.
             now: Runtime clock, seconds.
-            headers: Its headers, by their names in small letters.
+            headers: Headers of the answer by their names in lower case.
         """
-        era = self._note_era(headers, self.reader.era)
+        era = self._record_era(headers, self.reader.era)
         if status == HISTORY_GONE:
-            self._note_history_lost()
+            self._record_history_lost()
         try:
             events = self.reader.on_answer(status, body, now, era)
         except PlatformError as error:
-            self._note_lost(str(error), now)
+            self._record_store_lost(str(error), now)
             return
-        self._note_revision()
-        listed = _list_in(events)
-        self.named = ERA_HEADER in headers
+        self._record_store_revision()
+        listed = _find_listing(events)
+        self.era_named = ERA_HEADER in headers
         self.node.board.store_answered_at = now
-        if not self.named and self._is_unnamed_era(listed):
-            self._begin_unnamed_era(now)
+        if not self.era_named and self._shows_unnamed_era(listed):
+            self._start_unnamed_era(now)
             return
-        if self.lost:
-            self._note_regained()
-        self.unsure = self.unsure and listed is None
+        if self.last_call_failed:
+            self._on_store_regained()
+        self.restore_possible = self.restore_possible and listed is None
         if listed is not None:
             self.node.synchronizer.reconciler.on_listed()
         for event in events:
             self._apply(event, now)
         board = self.node.board
-        # A refused watch or a first page of several confirms nothing.
-        if board.fleet_known and self.reader.confirms:
+        # A refused watch or the first of several pages confirms nothing.
+        if board.fleet_known and self.reader.answer_complete:
             board.view.advance_to(self.reader.revision)
             self.node.synchronizer.on_confirmed(
                 now, self.reader.answer_age_s(now - self.called_at)
             )
             self.node.on_published(now)
 
-    def _note_regained(self) -> None:
-        """Takes account of the end of an outage."""
-        self.lost = False
-        self.unsure = not self.named
-        self._decide("store regained", "reading")
+    def _on_store_regained(self) -> None:
+        """Handles the first usable answer after an outage."""
+        self.last_call_failed = False
+        self.restore_possible = not self.era_named
+        self._record_decision("store regained", "reading")
 
-    def _is_unsure(self, now: float) -> bool:
-        """Tells whether a restore may have been missed.
+    def _needs_listing(self, now: float) -> bool:
+        """Tells whether a listing is needed because the view may be wrong.
 
-        A store that names no era may have come back from a copy, during an
-        outage or while this process was told by others, and be ahead of what
-        was known again: only a list shows that.
+        A store that names no era may have been restored from a backup during an
+        outage, or while this process got its view from other balancers. Its
+        revision may have passed the known one since then, so that only a
+        listing shows the restore.
         """
         answered_at = self.node.board.store_answered_at
-        told = now - answered_at > self.node.synchronizer.max_age_s
-        doubtful = self.node.synchronizer.reconciler.needs_store_read
-        return self.unsure or doubtful or (told and not self.named)
+        view_from_others = now - answered_at > self.node.synchronizer.max_age_s
+        needs_reconciling = self.node.synchronizer.reconciler.needs_store_read
+        return (
+            self.restore_possible
+            or needs_reconciling
+            or (view_from_others and not self.era_named)
+        )
 
-    def _is_unnamed_era(self, listed: ServersListed | None) -> bool:
-        """Tells whether a list without an era is of a new one."""
+    def _shows_unnamed_era(self, listed: ServersListed | None) -> bool:
+        """Tells whether a listing that names no era is of a new era."""
         view = self.node.board.view
-        return listed is not None and went_back(listed, view, self.asked_from)
+        return listed is not None and shows_older_state(
+            listed, view, self.revision_at_listing
+        )
 
-    def _begin_unnamed_era(self, now: float) -> None:
-        """Counts a new era that the store does not name; lists in it.
+    def _start_unnamed_era(self, now: float) -> None:
+        """Starts a new era that the store does not name, with a listing.
 
-        All balancers that knew the former one count alike, and the others are
-        told by them.
+        All balancers that know the former era get the same number, and send it
+        to the other balancers.
         """
         era = self.reader.era + 1
-        self._decide("store era", f"{self.reader.era} -> {era}, not named")
-        self.reader.see_era(era)
+        self._record_decision(
+            "store era", f"{self.reader.era} -> {era}, not named by the store"
+        )
+        self.reader.update_era(era)
         self.reader.due = now
         self.node.board.store_era = era
 
-    def _note_era(self, headers: Mapping[str, str], known: int) -> int:
-        """Notes and returns which era of the store an answer is of.
+    def _record_era(self, headers: Mapping[str, str], known: int) -> int:
+        """Records and returns the era of the store in an answer.
 
         Args:
             headers: Headers of the answer.
-            known: Era of an answer that names none.
+            known: Era to assume if the answer names none.
         """
         board = self.node.board
         try:
             era = read_era(headers, known)
         except FieldError as error:
-            self._note_problem(error.problem)
+            self._record_problem(error.problem)
             return known
         if era != board.store_era:
-            self._decide("store era", f"{board.store_era} -> {era}")
+            self._record_decision("store era", f"{board.store_era} -> {era}")
         board.store_era = max(era, board.store_era)
         return era
 
-    def _note_history_lost(self) -> None:
-        """Logs that the store does not have the history that was asked for."""
+    def _record_history_lost(self) -> None:
+        """Records that the store does not have the requested history."""
         board = self.node.board
         board.records.counters[Count.HISTORY_LOST] += 1
-        self._decide("history lost", "listing")
+        self._record_decision("history lost", "listing")
 
-    def _note_revision(self) -> None:
-        """Notes the store's revision; logs when it falls behind what is known.
+    def _record_store_revision(self) -> None:
+        """Records the store's revision and logs if it falls behind the view.
 
-        It cannot by itself: the store has come back with an older state.
+        It falls behind only if the store was restored to an older state.
         """
         board = self.node.board
         before, after = board.store_revision, self.reader.seen_revision
         board.store_revision = after
         known = board.view.revision
         if count_of(after) < count_of(known) and after != before:
-            self._decide("store behind", f"at {count_of(after)}")
+            self._record_decision("store behind", f"at {count_of(after)}")
 
     def on_failed(self, reason: str, now: float, silent: bool = False) -> None:
-        """Takes account of a call without an answer.
+        """Handles a call that got no answer.
 
         Args:
-            reason: Why there is none.
+            reason: Why it got none.
             now: Runtime clock, seconds.
-            silent: All of the call's time has passed.
+            silent: Whether the call timed out.
         """
         self.reader.on_failed(now, silent)
-        self._note_lost(reason, now)
+        self._record_store_lost(reason, now)
 
     def needs_answer(self, now: float) -> bool:
-        """Tells whether the answer that is coming in is still of use.
+        """Tells whether the answer that is arriving is still needed.
 
-        A whole list fills a narrow link for longer than other balancers take to
-        tell the same.
+        A full listing occupies a low-bandwidth link for longer than other
+        balancers need to send the same state.
         """
-        told = self.node.board.fleet_known and not self.reader.knows
-        return not told or self.node.synchronizer.must_read(now)
+        view_from_others = (
+            self.node.board.fleet_known and not self.reader.has_state
+        )
+        return not view_from_others or self.node.synchronizer.must_read(now)
 
     def on_not_needed(self, now: float) -> None:
-        """Takes account of a call that ``needs_answer`` has ended."""
+        """Handles a call that was ended because of ``needs_answer``."""
         self.reader.on_not_needed(now)
-        if self.lost:
-            self.lost = False
-            self._decide("store regained", "told by others")
+        if self.last_call_failed:
+            self.last_call_failed = False
+            self._record_decision("store regained", "told by others")
 
     def confirming_call(self, now: float) -> StoreCall:
-        """Returns the call that confirms what is known."""
-        self.confirming_since = now
+        """Returns a call that confirms the view."""
+        self.confirmation_sent_at = now
         known = self.node.board.view.revision
-        self.confirmed_era = era_of(known)
+        self.confirmation_era = era_of(known)
         return self.reader.confirming_call(known)
 
     def on_confirmation(
@@ -255,8 +276,8 @@
         now: float,
         headers: Mapping[str, str] = NO_HEADERS,
     ) -> None:
-        """Takes the answer to a ``confirming_call``; see ``on_answer``."""
-        era = self._note_era(headers, self.confirmed_era)
+        """Handles the answer to a ``confirming_call``; see ``on_answer``."""
+        era = self._record_era(headers, self.confirmation_era)
         board = self.node.board
         try:
             changes = read_confirmation(status, body, era)
@@ -268,33 +289,40 @@
         for event in changes.events:
             self._apply(event, now)
         board.view.advance_to(changes.revision)
-        self.node.synchronizer.on_confirmed(now, now - self.confirming_since)
+        self.node.synchronizer.on_confirmed(
+            now, now - self.confirmation_sent_at
+        )
         self.node.finder.on_view_confirmed(now)
 
     def _check_era_of_view(self, era: int) -> None:
-        """Checks that what is known is of the era of an answer.
+        """Checks that the view is of the era of an answer.
 
         Raises:
-            PlatformError: It is not, so the answer does not say what came after
-                it. The watch under way ends with the same news.
+            PlatformError: The view is of another era, so the answer does not
+                hold the changes since the view. The pending watch detects the
+                new era too.
         """
         known = era_of(self.node.board.view.revision)
         if known != era:
-            raise PlatformError("confirmation", f"of era {era}, not {known}")
+            raise PlatformError(
+                "confirmation", f"answer of era {era}, expected era {known}"
+            )
 
     def on_confirmation_failed(self, reason: str, now: float) -> None:
-        """Takes account of a ``confirming_call`` without a usable answer."""
+        """Handles a ``confirming_call`` without a usable answer."""
         self.node.board.store_failed_at = now
-        self._decide("confirmation failed", reason)
+        self._record_decision("confirmation failed", reason)
         self.node.finder.confirmer.on_failed(now)
 
-    def _note_lost(self, reason: str, now: float) -> None:
+    def _record_store_lost(self, reason: str, now: float) -> None:
         self.node.board.store_failed_at = now
-        if not self.lost:
-            self.lost = True
-            self._decide("store lost", reason)
+        if not self.last_call_failed:
+            self.last_call_failed = True
+            self._record_decision("store lost", reason)
 
-    def _decide(self, event: str, outcome: str, **inputs: object) -> None:
+    def _record_decision(
+        self, event: str, outcome: str, **inputs: object
+    ) -> None:
         records = self.node.board.records
         revision = self.node.board.view.revision
         records.record_decision(
@@ -307,7 +335,7 @@
             case items.TablePublished():
                 self.node.board.refused = ""
                 for problem in event.table.problems:
-                    self._note_problem(problem)
+                    self._record_problem(problem)
                 fleet.tables.on_table(
                     event.table, event.revision, replace_same_version=True
                 )
@@ -325,29 +353,29 @@
                 fleet.on_removed(event.server_id, event.revision, now)
             case items.TableRefused():
                 self.node.board.refused = str(event.error)
-                self._decide("refused", str(event.error))
+                self._record_decision("refused", str(event.error))
             case items.EntryRefused():
-                self._note_problem(event.error.problem)
+                self._record_problem(event.error.problem)
                 fleet.on_refused(event.server_id, event.revision)
             case items.ZoneEvacuated():
                 fleet.zones.on_evacuated(event.zone, event.revision, now)
             case items.ZoneReturned():
                 fleet.zones.on_returned(event.zone, event.revision, now)
             case items.ItemRefused():
-                self._note_problem(event.error.problem)
+                self._record_problem(event.error.problem)
 
-    def _note_problem(self, problem: ConfigurationProblem) -> None:
-        """Logs and keeps what could not be read, once while it stays so."""
+    def _record_problem(self, problem: ConfigurationProblem) -> None:
+        """Counts a problem; logs and keeps it unless it is kept already."""
         board = self.node.board
         board.records.counters[Count.PARTS_REFUSED] += 1
         text = str(problem)
-        if text in board.problems or len(board.problems) >= PROBLEMS_KEPT:
+        if text in board.problems or len(board.problems) >= MAX_PROBLEMS:
             return
         board.problems.append(text)
-        self._decide("not understood", text)
+        self._record_decision("not understood", text)
 
 
-def _list_in(events: Sequence[StoreEvent]) -> ServersListed | None:
-    """Returns the whole list among what an answer told, or None."""
-    lists = [event for event in events if isinstance(event, ServersListed)]
-    return lists[0] if lists else None
+def _find_listing(events: Sequence[StoreEvent]) -> ServersListed | None:
+    """Returns the full listing among the events of an answer, or None."""
+    listings = [event for event in events if isinstance(event, ServersListed)]
+    return listings[0] if listings else None
--- a/notchhoist/platform/store.py
+++ b/notchhoist/platform/store.py
@@ -1,7 +1,8 @@
-"""Reading the platform's store: what to call next, what answers mean.
+"""Reads the platform's store: decides the calls and decodes the answers.
 
-No I/O: the caller makes one call at a time and reports its outcome. One call
-holds the whole state, so a first read and a watch on everything are enough.
+There is no I/O here: the caller makes one call at a time and reports its
+outcome. A listing covers the whole state, so a listing and then watches on all
+keys are enough.
 """
 
 import enum
@@ -15,11 +16,11 @@
 from notchhoist.flows.model.revisions import count_of, era_of, make_revision
 from notchhoist.flows.published.budget import PropagationBudget
 from notchhoist.platform.calls import (
+    BATCHING_PAUSE_S,
     CONFIRM_TIMEOUT_S,
-    GATHER_S,
     HISTORY_GONE,
-    LEAST_WAIT_S,
     LISTING_MAX_S,
+    MIN_WAIT_S,
     StoreCall,
     answer_timeout_s,
     listing_timeout_s,
@@ -42,8 +43,8 @@
 BUDGET = PropagationBudget()
 
 
-class Want(enum.Enum):
-    """What the next call reads."""
+class ReadKind(enum.Enum):
+    """Kind of data that a call reads."""
 
     LISTING = "listing"
     CHANGES = "changes"
@@ -53,25 +54,26 @@
     """Decides the next call and reads the answers.
 
     Attributes:
-        draw: Source of the jitter.
-        watch_s: How long the store may hold a watch, seconds.
-        answer_s: How long a call waits for an answer at first, beyond a
-            watch's time, seconds.
-        held_s: How long the store has held its last answer for certain, since
-            it was called: all of a watch's time where there was no news.
-        wait_s: How long it may hold the watch under way, seconds.
-        want: What the next call reads.
+        draw: Random source of the jitter.
+        watch_s: Watch time: how long the store may hold a watch, seconds.
+        answer_s: First timeout of an answer beyond the watch time, seconds.
+        held_s: How long the store held its last answer at least, seconds: the
+            full watch time if the watch returned no changes, otherwise 0.
+        wait_s: Watch time of the pending watch, seconds.
+        next_read: What the next call reads.
         revision: Everything up to this revision of the store is known.
-        era: Era of the store that its last answer was of.
-        confirms: The last answer told all that is newer than what was known.
+        era: Era of the store in its last answer.
+        answer_complete: The last answer, with the pages before it, held
+            everything that is newer than the state known before.
         due: When to make the next call, seconds.
-        failures: Failed calls in a row.
-        calls: Calls so far.
-        listed: Entries of the pages read so far.
-        table: The configuration on them, held until all have come.
-        refused: Servers on them whose entries are wrong, with the revisions.
-        evacuated: Zones on them that are evacuated, with the revisions.
-        page_after: Where the next page starts, or empty.
+        failures: Number of consecutive failed calls.
+        calls: Number of calls so far.
+        listed: Entries on the pages read so far.
+        table: Configuration on these pages; applied after the last page.
+        refused: Servers on these pages whose entries are invalid, with the
+            revisions.
+        evacuated: Evacuated zones on these pages, with the revisions.
+        page_after: Key after which the next page starts; empty for the first.
         page_revision: Revision of the first page.
         seen_revision: Revision of the store in its last answer.
     """
@@ -81,10 +83,10 @@
     answer_s: float = BUDGET.answer_s
     held_s: float = 0.0
     wait_s: float = 0.0
-    want: Want = Want.LISTING
+    next_read: ReadKind = ReadKind.LISTING
     revision: int = 0
     era: int = 0
-    confirms: bool = False
+    answer_complete: bool = False
     due: float = 0.0
     failures: int = 0
     calls: int = 0
@@ -97,19 +99,19 @@
     seen_revision: int = 0
 
     def next_call(self, wait_s: float = float("inf")) -> StoreCall:
-        """Returns the call to make when ``due`` has come.
+        """Returns the call to make at ``due``.
 
         Args:
-            wait_s: The store may hold a watch no longer than this, seconds.
+            wait_s: Upper limit of the watch time, seconds.
         """
         self.calls += 1
-        if self.want is Want.LISTING:
+        if self.next_read is ReadKind.LISTING:
             target = "/kv-range?path_prefix="
             if self.page_after:
-                target += f"&after={_quoted(self.page_after)}"
-            timeout_s = listing_timeout_s(self.knows, self.failures)
+                target += f"&after={_quote_key(self.page_after)}"
+            timeout_s = listing_timeout_s(self.has_state, self.failures)
             return StoreCall("listing", target, timeout_s, LISTING_MAX_S)
-        wait_ms = int(min(max(wait_s, LEAST_WAIT_S), self.watch_s) * 1000)
+        wait_ms = int(min(max(wait_s, MIN_WAIT_S), self.watch_s) * 1000)
         self.wait_s = wait_ms / 1000
         after = count_of(self.revision)
         target = f"/kv-watch?path_prefix=&after={after}&wait_ms={wait_ms}"
@@ -117,96 +119,100 @@
         return StoreCall("watch", target, timeout_s, timeout_s + LISTING_MAX_S)
 
     def answer_age_s(self, since_call_s: float) -> float:
-        """Returns how old an answer that is read now may be, seconds.
+        """Returns the greatest possible age of an answer read now, seconds.
 
-        It may have waited on its way or before this process. What the store
-        said came after the call, and word of no news after the watch's time.
+        The answer may have been delayed in the network or in a buffer of this
+        host. The store gave it after the call, and after the watch time if the
+        watch returned no changes.
 
         Args:
             since_call_s: Time since the call, seconds.
         """
-        late = since_call_s >= self.held_s
-        return since_call_s - self.held_s if late else since_call_s
+        watch_elapsed = since_call_s >= self.held_s
+        return since_call_s - self.held_s if watch_elapsed else since_call_s
 
     def confirming_call(self, revision: int) -> StoreCall:
-        """Returns a call for what is newer than a revision, answered at once.
+        """Returns a call for all changes since a revision, answered at once.
 
-        It goes beside the others and does not change what comes next.
+        It may be made while another call is pending and does not affect the
+        next call.
         """
         self.calls += 1
         after = count_of(revision)
-        wait_ms = int(LEAST_WAIT_S * 1000)
+        wait_ms = int(MIN_WAIT_S * 1000)
         target = f"/kv-watch?path_prefix=&after={after}&wait_ms={wait_ms}"
         return StoreCall("confirmation", target, CONFIRM_TIMEOUT_S)
 
     @property
-    def knows(self) -> bool:
-        """Whether anything published is known."""
+    def has_state(self) -> bool:
+        """Whether any published state is known."""
         return self.revision > 0
 
     def resume(self, revision: int) -> None:
-        """Notes that everything up to a revision is known from elsewhere.
+        """Records that everything up to a revision is known from elsewhere.
 
-        What is known of an earlier era than the store's is no place to go on
-        from: the store has never told what it says there now.
+        A revision of an earlier era than the store's is ignored: the state that
+        the store has there now has not been read.
         """
         if revision > self.revision and era_of(revision) >= self.era:
             self.revision = revision
             self.era = era_of(revision)
-            self.want = Want.CHANGES
-            self._forget_pages()
+            self.next_read = ReadKind.CHANGES
+            self._discard_pages()
 
-    def list_anew(self) -> None:
-        """Has the next call read everything, unless that is under way."""
-        if self.want is Want.CHANGES:
-            self.list_again()
+    def request_listing(self) -> None:
+        """Makes the next call a listing, unless one is in progress."""
+        if self.next_read is ReadKind.CHANGES:
+            self.restart_listing()
 
-    def list_again(self) -> None:
-        """Has the next call begin to read everything."""
-        self.want = Want.LISTING
-        self._forget_pages()
+    def restart_listing(self) -> None:
+        """Makes the next call the first one of a new listing."""
+        self.next_read = ReadKind.LISTING
+        self._discard_pages()
 
-    def see_era(self, era: int) -> bool:
-        """Takes account of the era that an answer is of.
+    def update_era(self, era: int) -> bool:
+        """Records the era of an answer and restarts the listing in a new era.
 
         Returns:
-            Whether the answer is of use. What was asked for in another era is
-            not: its revisions name other changes.
+            Whether the answer can be used. A watch or a further page that was
+            requested from a revision or page of another era cannot: its
+            revisions stand for other changes.
 
         Raises:
-            PlatformError: The answer is of an earlier era than another one.
+            PlatformError: The era is earlier than that of a former answer.
         """
         if era < self.era:
             raise PlatformError(
-                self.want.value, f"of era {era}, not {self.era}"
+                self.next_read.value,
+                f"answer of era {era}, expected era {self.era}",
             )
         if era == self.era:
             return True
         self.era = era
-        first_page = self.want is Want.LISTING and not self.page_after
-        self.list_again()
+        first_page = self.next_read is ReadKind.LISTING and not self.page_after
+        self.restart_listing()
         return first_page
 
     def on_failed(self, now: float, silent: bool = False) -> None:
-        """Takes account of a call without a usable answer.
+        """Schedules the retry of a call without a usable answer.
 
         Args:
             now: Runtime clock, seconds.
-            silent: The time until it was given up has passed already.
+            silent: Whether the call timed out, so that time has passed already.
         """
         pause = pause_s(self.failures)
-        if silent and not self.knows:
+        if silent and not self.has_state:
             pause = 0.0
         self.failures += 1
         self.due = now + pause * (0.5 + 0.5 * self.draw())
-        self._forget_pages()
+        self._discard_pages()
 
     def on_not_needed(self, now: float) -> None:
-        """Takes account of a call that was ended since others told enough."""
+        """Handles a call that was ended because its answer is not needed."""
         self.due = now
-        self._forget_pages()
+        self._discard_pages()
 
-    def _forget_pages(self) -> None:
+    def _discard_pages(self) -> None:
         self.listed = []
         self.table = None
         self.refused = {}
@@ -216,44 +222,47 @@
     def on_answer(
         self, status: int, body: bytes, now: float, era: int = 0
     ) -> Sequence[StoreEvent]:
-        """Takes an answer.
+        """Reads an answer and schedules the next call.
 
         Args:
-            status: HTTP status.
-            body: Its body.
+            status: HTTP status of the answer.
+            body: Body of the answer.
             now: Runtime clock, seconds.
-            era: Era of the store that it is of.
+            era: Era of the store in the answer.
 
         Returns:
-            What it tells.
+            The events in the answer; those of a listing come with its last
+            page, except for errors in single items.
 
         Raises:
-            PlatformError: The answer is of no use; ``on_failed`` has been
+            PlatformError: The answer cannot be used; ``on_failed`` has been
                 called.
         """
-        self.confirms = False
+        self.answer_complete = False
         self.held_s = 0.0
         try:
-            useful = self.see_era(era)
+            usable = self.update_era(era)
         except PlatformError:
             self.on_failed(now)
             raise
-        lost = status == HISTORY_GONE and self.want is Want.CHANGES
-        if lost or not useful:
-            self.list_again()
+        history_lost = (
+            status == HISTORY_GONE and self.next_read is ReadKind.CHANGES
+        )
+        if history_lost or not usable:
+            self.restart_listing()
             self.due = now
             return ()
         if status != 200:
             self.on_failed(now)
-            raise PlatformError(self.want.value, f"status {status}")
+            raise PlatformError(self.next_read.value, f"status {status}")
         try:
             fields = Fields(decode_json(body, "answer"), "answer")
-            if self.want is Want.LISTING:
+            if self.next_read is ReadKind.LISTING:
                 events = self._on_page(fields, now)
             else:
                 events = self._on_changes(fields, now)
         except FieldError as error:
-            self.want = Want.LISTING
+            self.next_read = ReadKind.LISTING
             self.on_failed(now)
             raise PlatformError("answer", str(error)) from error
         self.failures = 0
@@ -296,27 +305,27 @@
         if self.table is not None:
             events.append(self.table)
         events.append(listed)
-        self._forget_pages()
+        self._discard_pages()
         self.revision = self.page_revision
-        self.want = Want.CHANGES
-        self.confirms = True
+        self.next_read = ReadKind.CHANGES
+        self.answer_complete = True
         return events
 
     def _on_changes(self, fields: Fields, now: float) -> list[StoreEvent]:
         changes = read_changes(fields, self.era)
-        self.confirms = True
+        self.answer_complete = True
         self.seen_revision = changes.revision
         self.revision = max(self.revision, changes.revision)
-        self.held_s = 0.0 if changes.told else self.wait_s
-        self.due = now + GATHER_S if changes.told else now
+        self.held_s = 0.0 if changes.has_items else self.wait_s
+        self.due = now + BATCHING_PAUSE_S if changes.has_items else now
         return changes.events
 
 
-def _quoted(key: str) -> str:
-    """Returns a key as a query holds it.
+def _quote_key(key: str) -> str:
+    """Returns a key quoted for a URL's query.
 
-    ``urllib.parse`` is loaded only here: it takes 5 ms of a process's start,
-    and a first page is enough for 500 items.
+    ``urllib.parse`` is imported only here: the import takes 5 ms when a process
+    starts, and a listing of up to 500 items needs no second page.
     """
     from urllib.parse import quote
 
--- a/notchhoist/platform/tests/test_store.py
+++ b/notchhoist/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Reading the store: what is called next after each kind of answer."""
+"""Tests of the store reader: the next call after each kind of answer."""
 
 import base64
 import json
@@ -42,141 +42,145 @@
 
 
 def listed():
-    """A reader that has read the first listing."""
-    made = reader()
-    made.next_call()
-    made.on_answer(200, page(item("servers/i-1", ENTRY)), 0.0)
-    return made
+    """Returns a reader that has read the first listing."""
+    store_reader = reader()
+    store_reader.next_call()
+    store_reader.on_answer(200, page(item("servers/i-1", ENTRY)), 0.0)
+    return store_reader
 
 
 def test_one_call_reads_everything_and_a_watch_follows():
-    made = reader()
-    assert made.next_call().target == "/kv-range?path_prefix="
-    events = made.on_answer(
+    store_reader = reader()
+    assert store_reader.next_call().target == "/kv-range?path_prefix="
+    events = store_reader.on_answer(
         200, page(item("op/config", CONFIGURATION), item("servers/i", ENTRY)), 0
     )
     kinds = [type(event) for event in events]
     assert kinds == [items.TablePublished, items.ServersListed]
-    assert "/kv-watch?path_prefix=&after=50&" in made.next_call().target
+    assert "/kv-watch?path_prefix=&after=50&" in store_reader.next_call().target
 
 
-def test_pages_are_read_to_the_end_and_watched_from_the_first():
-    made = reader()
-    made.next_call()
+def test_all_pages_are_read_and_watched_from_the_first_pages_revision():
+    store_reader = reader()
+    store_reader.next_call()
     first = page(item("servers/a b", ENTRY), more=True, as_of=50)
-    assert not made.on_answer(200, first, 0.0)
-    assert made.next_call().target.endswith("&after=servers%2Fa%20b")
+    assert not store_reader.on_answer(200, first, 0.0)
+    assert store_reader.next_call().target.endswith("&after=servers%2Fa%20b")
     second = page(item("servers/c", ENTRY), as_of=60)
-    [event] = made.on_answer(200, second, 0.0)
+    [event] = store_reader.on_answer(200, second, 0.0)
     assert [entry.server_id for entry, _ in event.entries] == ["a b", "c"]
-    assert made.revision == 50
+    assert store_reader.revision == 50
 
 
-def test_changes_are_told_and_gathered():
-    made = listed()
-    gone = {"key": "servers/i-1", "revision": 51, "removed": True}
-    [event] = made.on_answer(200, changes(gone), 1.0)
+def test_changes_are_returned_and_followed_by_a_batching_pause():
+    store_reader = listed()
+    removal = {"key": "servers/i-1", "revision": 51, "removed": True}
+    [event] = store_reader.on_answer(200, changes(removal), 1.0)
     assert event == items.ServerRemoved("i-1", 51)
-    assert (made.revision, made.due) == (51, 1.0 + calls.GATHER_S)
+    assert (store_reader.revision, store_reader.due) == (
+        51,
+        1.0 + calls.BATCHING_PAUSE_S,
+    )
 
 
-def test_a_watch_lasts_as_long_as_the_bound_allows():
-    made = listed()
-    made.watch_s = 3.25
-    call = made.next_call()
+def test_a_watch_lasts_for_the_watch_time():
+    store_reader = listed()
+    store_reader.watch_s = 3.25
+    call = store_reader.next_call()
     assert call.target.endswith("wait_ms=3250")
     assert call.timeout_s > 3.25
 
 
-def test_a_watch_without_news_is_renewed_at_once():
-    made = listed()
-    made.on_answer(200, changes(as_of=50), 3.0)
-    assert made.due == 3.0
+def test_a_watch_without_changes_is_repeated_at_once():
+    store_reader = listed()
+    store_reader.on_answer(200, changes(as_of=50), 3.0)
+    assert store_reader.due == 3.0
 
 
-def test_history_that_is_gone_is_listed_anew():
-    made = listed()
-    made.on_answer(410, b"", 1.0)
-    assert made.next_call().target.startswith("/kv-range")
+def test_a_watch_with_lost_history_is_followed_by_a_listing():
+    store_reader = listed()
+    store_reader.on_answer(410, b"", 1.0)
+    assert store_reader.next_call().target.startswith("/kv-range")
 
 
 @pytest.mark.parametrize("status", [429, 500, 503])
 def test_refused_calls_are_repeated_after_growing_pauses(status):
-    made = listed()
+    store_reader = listed()
     pauses = []
     for _ in range(8):
         with pytest.raises(PlatformError, match=str(status)):
-            made.on_answer(status, b"", 0.0)
-        pauses.append(made.due)
+            store_reader.on_answer(status, b"", 0.0)
+        pauses.append(store_reader.due)
     assert pauses[0] <= calls.PAUSE_FIRST_S
     assert calls.PAUSE_MAX_S / 2 <= pauses[-1] <= calls.PAUSE_MAX_S
 
 
-def test_a_process_that_knows_nothing_asks_again_soon():
-    """A store that was silent had been back for half a second (inc-a56a).
+def test_a_process_without_state_retries_soon():
+    """A process without state retries soon when the store is silent.
 
-    Patience grows all the same: an answer may take its time.
+    Otherwise it noticed half a second late that the store was back.
+    The timeout still grows, since the answer of a slow store takes longer.
     """
-    made = reader()
+    store_reader = reader()
     timeouts = []
     for _ in range(12):
-        timeouts.append(made.next_call().timeout_s)
-        made.on_failed(0.0, silent=True)
-        assert made.due == 0.0
-    quick = [calls.QUICK_S, calls.QUICK_S]
-    assert timeouts == [*quick, 0.5, *quick, 1.0, *quick, 2.0, *quick, 4.0]
+        timeouts.append(store_reader.next_call().timeout_s)
+        store_reader.on_failed(0.0, silent=True)
+        assert store_reader.due == 0.0
+    short = [calls.SHORT_TIMEOUT_S, calls.SHORT_TIMEOUT_S]
+    assert timeouts == [*short, 0.5, *short, 1.0, *short, 2.0, *short, 4.0]
 
 
-def test_a_process_that_knows_something_is_patient_at_once():
-    made = listed()
-    made.want = store.Want.LISTING
+def test_a_process_with_state_has_longer_timeouts_from_the_start():
+    store_reader = listed()
+    store_reader.next_read = store.ReadKind.LISTING
     timeouts = []
     for _ in range(5):
-        timeouts.append(made.next_call().timeout_s)
-        made.on_failed(0.0, silent=True)
-        assert made.due > 0.0
+        timeouts.append(store_reader.next_call().timeout_s)
+        store_reader.on_failed(0.0, silent=True)
+        assert store_reader.due > 0.0
     assert timeouts == [0.5, 1.0, 2.0, 4.0, 4.0]
 
 
-def test_a_store_that_refuses_one_that_knows_nothing_is_left_in_peace():
-    made = reader()
+def test_a_process_without_state_backs_off_from_a_refusing_store():
+    store_reader = reader()
     pauses = []
     for _ in range(8):
-        made.next_call()
-        made.on_failed(0.0)
-        pauses.append(made.due)
+        store_reader.next_call()
+        store_reader.on_failed(0.0)
+        pauses.append(store_reader.due)
     assert pauses[-1] >= calls.PAUSE_MAX_S / 2
 
 
 def test_a_malformed_answer_leads_to_a_new_listing():
-    made = listed()
+    store_reader = listed()
     with pytest.raises(PlatformError, match="as_of"):
-        made.on_answer(200, b'{"events": []}', 1.0)
-    assert made.next_call().target.startswith("/kv-range")
+        store_reader.on_answer(200, b'{"events": []}', 1.0)
+    assert store_reader.next_call().target.startswith("/kv-range")
 
 
-def test_a_bad_document_is_told_and_the_rest_is_read():
-    made = listed()
-    bad = item("op/config", {"version": "x"})
-    good = item("servers/i-2", ENTRY)
-    events = made.on_answer(200, changes(bad, good), 1.0)
+def test_an_invalid_document_is_reported_and_the_rest_is_read():
+    store_reader = listed()
+    invalid = item("op/config", {"version": "x"})
+    valid = item("servers/i-2", ENTRY)
+    events = store_reader.on_answer(200, changes(invalid, valid), 1.0)
     kinds = [type(event) for event in events]
     assert kinds == [items.TableRefused, items.ServerPublished]
 
 
-def test_a_bad_entry_in_a_listing_does_not_remove_its_server():
-    """It did: what was known of the server was lost with the entry."""
-    made = reader()
-    made.next_call()
+def test_an_invalid_entry_in_a_listing_does_not_remove_its_server():
+    """An invalid entry in a listing must not discard the known server."""
+    store_reader = reader()
+    store_reader.next_call()
     body = page(item("servers/i-1", {"service": 4}), item("servers/i-2", ENTRY))
-    events = made.on_answer(200, body, 0.0)
-    refused, whole = events
+    events = store_reader.on_answer(200, body, 0.0)
+    refused, listing = events
     assert isinstance(refused, items.EntryRefused)
-    assert whole.refused == (("i-1", 1),)
+    assert listing.refused == (("i-1", 1),)
 
 
 @pytest.mark.parametrize(
-    "strange",
+    "invalid",
     [
         4,
         {"value": "x"},
@@ -188,16 +192,16 @@
         {"key": "op/config", "removed": 3},
     ],
 )
-def test_an_item_that_cannot_be_read_costs_only_itself(strange):
-    """It made the whole answer useless, and the next listing too."""
-    good = item("servers/i-2", ENTRY)
-    made = listed()
-    *_, published = made.on_answer(200, changes(strange, good), 1.0)
+def test_an_unreadable_item_does_not_affect_other_items(invalid):
+    """An unreadable item must not invalidate the answer or the next listing."""
+    valid = item("servers/i-2", ENTRY)
+    store_reader = listed()
+    *_, published = store_reader.on_answer(200, changes(invalid, valid), 1.0)
     assert published.entry.server_id == "i-2"
-    made = reader()
-    made.next_call()
-    *_, whole = made.on_answer(200, page(strange, good), 0.0)
-    assert [entry.server_id for entry, _ in whole.entries] == ["i-2"]
+    store_reader = reader()
+    store_reader.next_call()
+    *_, listing = store_reader.on_answer(200, page(invalid, valid), 0.0)
+    assert [entry.server_id for entry, _ in listing.entries] == ["i-2"]
 
 
 ITEM_FIELDS = ["key", "value", "revision", "created", "lease", "unheard-of"]
@@ -217,9 +221,9 @@
     assert "i-2" in ids
 
 
-def test_keys_of_no_concern_are_passed_over():
-    made = listed()
-    events = made.on_answer(200, changes(item("other/key", {})), 1.0)
+def test_unused_keys_are_ignored():
+    store_reader = listed()
+    events = store_reader.on_answer(200, changes(item("other/key", {})), 1.0)
     assert not events
 
 
@@ -238,26 +242,26 @@
 
 
 @pytest.mark.parametrize("value", ["e30=", "@@", "", 7, None])
-def test_an_evacuation_holds_whatever_its_value_is(value):
-    made = reader()
-    made.next_call()
-    [whole] = made.on_answer(200, page(zone_item("a", 4, value)), 0.0)
-    assert whole.evacuated == (("a", 4),)
+def test_an_evacuation_is_in_force_whatever_its_value_is(value):
+    store_reader = reader()
+    store_reader.next_call()
+    [listing] = store_reader.on_answer(200, page(zone_item("a", 4, value)), 0.0)
+    assert listing.evacuated == (("a", 4),)
 
 
 def test_an_evacuation_is_watched_and_withdrawn():
-    made = listed()
-    gone = {"key": "op/evacuate/a", "revision": 6, "removed": True}
-    body = changes(zone_item("a", 5), gone, zone_item("a", 7))
-    assert made.on_answer(200, body, 1.0) == [
+    store_reader = listed()
+    removal = {"key": "op/evacuate/a", "revision": 6, "removed": True}
+    body = changes(zone_item("a", 5), removal, zone_item("a", 7))
+    assert store_reader.on_answer(200, body, 1.0) == [
         items.ZoneEvacuated("a", 5),
         items.ZoneReturned("a", 6),
         items.ZoneEvacuated("a", 7),
     ]
 
 
-def test_a_strange_entry_says_when_it_was_written():
-    made = listed()
-    strange = item("servers/i-1", {"service": 4}, 60)
-    [refused] = made.on_answer(200, changes(strange), 1.0)
+def test_an_invalid_entry_is_reported_with_its_revision():
+    store_reader = listed()
+    invalid = item("servers/i-1", {"service": 4}, 60)
+    [refused] = store_reader.on_answer(200, changes(invalid), 1.0)
     assert (refused.server_id, refused.revision) == ("i-1", 60)
--- a/notchhoist/platform/tests/test_unnamed_eras.py
+++ b/notchhoist/platform/tests/test_unnamed_eras.py
@@ -1,27 +1,27 @@
-"""A store that comes back from a copy and does not say so."""
+"""Tests with a store that is restored from a backup and names no era."""
 
 from notchhoist.flows.model.revisions import make_revision
 from notchhoist.flows.model.view import FleetView
 from notchhoist.platform.items import ServersListed
 from notchhoist.platform.tests.test_documents import CONFIGURATION, ENTRY
-from notchhoist.platform.tests.test_feeding import fed
+from notchhoist.platform.tests.test_feeding import make_feeder
 from notchhoist.platform.tests.test_store import changes, item, page
-from notchhoist.platform.unnamed_eras import went_back
+from notchhoist.platform.unnamed_eras import shows_older_state
 
 TABLE = item("op/config", CONFIGURATION, 40)
 
 
-def known():
-    """A balancer that knows everything up to 63."""
-    feeder = fed(TABLE, item("servers/i-1", ENTRY, 61))
+def informed_feeder():
+    """Returns a feeder that knows everything up to 63."""
+    feeder = make_feeder(TABLE, item("servers/i-1", ENTRY, 61))
     feeder.next_call(0.5)
     feeder.on_answer(200, changes(as_of=63), 0.5)
     return feeder
 
 
-def test_a_list_of_a_lower_revision_begins_an_era():
-    """Lists were read without a pause and passed over as older."""
-    feeder = known()
+def test_a_listing_of_a_lower_revision_starts_an_era():
+    """Listings must not be ignored as older and repeated without a pause."""
+    feeder = informed_feeder()
     feeder.next_call(1.0)
     feeder.on_answer(410, b"", 1.0)
     body = page(TABLE, item("servers/i-1", ENTRY, 41), as_of=60)
@@ -32,9 +32,12 @@
     assert "after=60" in feeder.next_call(1.2).target
 
 
-def test_after_an_outage_a_list_that_shows_less_of_an_entry_begins_one():
-    """The store's count had passed ours; a watch would have gone on."""
-    feeder = known()
+def test_a_listing_with_an_older_entry_after_an_outage_starts_an_era():
+    """A watch would not show the restore.
+
+    The store's counter has passed the known revision.
+    """
+    feeder = informed_feeder()
     feeder.next_call(1.0)
     feeder.on_failed("reset", 1.0)
     feeder.next_call(1.5)
@@ -45,15 +48,19 @@
     assert feeder.node.board.store_era == 1
 
 
-def test_an_entry_that_was_told_while_a_list_was_read_proves_nothing():
+def test_a_change_received_during_a_listing_does_not_indicate_a_restore():
     view = FleetView(revision=63, changed_at={"s": 65})
-    assert not went_back(ServersListed((), 64), view, 63)
-    assert not went_back(ServersListed((), 64, refused=(("s", 41),)), view, 63)
-    assert went_back(ServersListed((), 64, refused=(("s", 41),)), view, 65)
+    assert not shows_older_state(ServersListed((), 64), view, 63)
+    assert not shows_older_state(
+        ServersListed((), 64, refused=(("s", 41),)), view, 63
+    )
+    assert shows_older_state(
+        ServersListed((), 64, refused=(("s", 41),)), view, 65
+    )
 
 
-def test_a_usual_outage_begins_no_era():
-    feeder = known()
+def test_an_outage_without_a_restore_starts_no_era():
+    feeder = informed_feeder()
     feeder.on_failed("reset", 1.0)
     feeder.next_call(1.5)
     feeder.on_answer(200, changes(as_of=63), 1.5)
@@ -64,9 +71,12 @@
     assert feeder.node.board.view.revision == 64
 
 
-def test_a_list_is_asked_for_though_others_tell_meanwhile():
-    """What they told came first, and the reader went on from it."""
-    feeder = known()
+def test_a_listing_is_requested_though_others_send_updates_meanwhile():
+    """Updates of other balancers must not replace the listing.
+
+    They arrived first, and the reader continued with a watch from them.
+    """
+    feeder = informed_feeder()
     feeder.on_failed("reset", 1.0)
     feeder.next_call(1.5)
     feeder.on_answer(200, changes(as_of=63), 1.5)
@@ -74,19 +84,26 @@
     assert "/kv-range" in feeder.next_call(1.6).target
 
 
-def test_one_list_is_enough_for_who_knows_nothing():
-    """A store that was away at a start was listed twice on narrow links."""
-    feeder = fed()
+def test_one_listing_is_enough_for_a_process_without_state():
+    """A store that was down at the start must not be listed twice.
+
+    The second listing loaded low-bandwidth links.
+    """
+    feeder = make_feeder()
     feeder.on_failed("reset", 0.5)
-    feeder.reader.list_again()
+    feeder.reader.restart_listing()
     feeder.next_call(1.0)
     feeder.on_answer(200, page(TABLE, as_of=70), 1.0)
     assert "after=70" in feeder.next_call(1.1).target
 
 
-def test_who_was_told_by_others_for_long_lists_before_it_watches():
-    """It made no call while the store came back, and went on from its count."""
-    feeder = known()
+def test_a_listing_follows_a_long_time_without_own_calls():
+    """A restore may happen while the view comes from other balancers.
+
+    A balancer made no call during the restore and continued with a watch
+    from the store's new counter.
+    """
+    feeder = informed_feeder()
     feeder.next_call(0.6)
     assert "/kv-watch" in feeder.next_call(0.6).target
     later = 0.6 + feeder.node.synchronizer.max_age_s + 0.1
--- a/notchhoist/platform/unnamed_eras.py
+++ b/notchhoist/platform/unnamed_eras.py
@@ -1,8 +1,8 @@
-"""Restores of a store that does not say so in its answers.
+"""Detects restores of a store whose answers name no era.
 
-The store's answers are linearizable: a list that is asked for after a revision
-was known shows at least that. One that shows less, of anything, is of a store
-that has come back from a copy.
+The store's answers are linearizable: a listing that is requested after a
+revision was known shows at least the state of that revision. If it shows an
+older state of any item, the store was restored from a backup.
 """
 
 from notchhoist.flows.model.revisions import era_of
@@ -10,27 +10,30 @@
 from notchhoist.platform.items import ServersListed
 
 
-def went_back(listed: ServersListed, view: FleetView, asked_from: int) -> bool:
-    """Tells whether a list shows less than was known when it was asked for.
+def shows_older_state(
+    listed: ServersListed, view: FleetView, known_revision: int
+) -> bool:
+    """Tells whether a listing is older than the view was when it was requested.
 
     Args:
-        listed: The list; it names no era and is read as of the known one.
-        view: What is known now.
-        asked_from: Everything up to this revision was known then.
+        listed: The listing; it names no era and was read as of the known era.
+        view: The view now.
+        known_revision: Revision of the view when the listing was requested.
 
     Examples:
         >>> view = FleetView(revision=63)
-        >>> went_back(ServersListed((), 60), view, 63)
+        >>> shows_older_state(ServersListed((), 60), view, 63)
         True
     """
-    if era_of(listed.revision) != era_of(asked_from):
-        return False  # It is the first list of an era that is noticed already.
-    if listed.revision < asked_from:
+    if era_of(listed.revision) != era_of(known_revision):
+        return False  # The first listing of an era that is already known.
+    if listed.revision < known_revision:
         return True
     shown: list[tuple[ViewKey, int]] = []
-    shown += [(entry.server_id, at) for entry, at in listed.entries]
+    shown += [(entry.server_id, revision) for entry, revision in listed.entries]
     shown += listed.refused
-    shown += [(ZoneKey(zone), at) for zone, at in listed.evacuated]
+    shown += [(ZoneKey(zone), revision) for zone, revision in listed.evacuated]
     return any(
-        at < view.changed_at.get(key, 0) <= asked_from for key, at in shown
+        revision < view.changed_at.get(key, 0) <= known_revision
+        for key, revision in shown
     )
