--- a/benchmarks/bench_logging.py
+++ b/benchmarks/bench_logging.py
@@ -12,7 +12,7 @@
 import tempfile
 import time
 
-from notchhoist.daemon.flow_journal import LINES_A_SECOND, FlowJournal
+from notchhoist.daemon.flow_journal import MAX_LINES_PER_SECOND, FlowJournal
 from notchhoist.flows.balancer.node import make_balancer
 from notchhoist.flows.model.records import Decision
 from notchhoist.flows.tests import crafting
@@ -26,7 +26,7 @@
     now = [0.0]
 
     def clock():
-        now[0] += 1.0 / LINES_A_SECOND
+        now[0] += 1.0 / MAX_LINES_PER_SECOND
         return now[0]
 
     journal = FlowJournal(
@@ -80,8 +80,9 @@
     ratio = line_s / flow_s
     print(f"a flow placed: {flow_s * 1e6:.1f} us; line / flow {ratio:.2f}")
     print(
-        f"{LINES_A_SECOND} lines a second: {line_s * LINES_A_SECOND:.2%} of a "
-        f"core, {size * LINES_A_SECOND / 1000:.0f} KB/s"
+        f"{MAX_LINES_PER_SECOND} lines a second: "
+        f"{line_s * MAX_LINES_PER_SECOND:.2%} of a core, "
+        f"{size * MAX_LINES_PER_SECOND / 1000:.0f} KB/s"
     )
 
 
--- a/notchhoist/daemon/flow_daemon.py
+++ b/notchhoist/daemon/flow_daemon.py
@@ -24,12 +24,12 @@
 from notchhoist.daemon.http_port import Reply, open_http_port
 from notchhoist.daemon.loop import Loop, Timer
 from notchhoist.daemon.port_check import (
-    BACKEND_WAIT_S,
-    HOST_WAIT_S,
-    check_packet_port,
-    check_port,
+    BACKEND_CONNECT_TIMEOUT_S,
+    HOST_CONNECT_TIMEOUT_S,
+    check_tcp_port,
+    check_udp_port,
 )
-from notchhoist.daemon.ports import Port, Ports
+from notchhoist.daemon.ports import Ports, SocketRole
 from notchhoist.daemon.signals import watch_signals
 from notchhoist.flows.model.effects import (
     CheckBackend,
@@ -134,9 +134,9 @@
         """Starts to serve: sets up sockets, HTTP ports, signals and timers."""
         loop = self.loop
         sockets = self.ports.sockets
-        loop.on_readable(sockets[Port.PACKETS], self._on_packets)
-        loop.on_readable(sockets[Port.PEERS], self._on_peers)
-        loop.on_readable(sockets[Port.CONTROL], self._on_control)
+        loop.on_readable(sockets[SocketRole.PACKETS], self._on_packets)
+        loop.on_readable(sockets[SocketRole.PEERS], self._on_peers)
+        loop.on_readable(sockets[SocketRole.CONTROL], self._on_control)
         open_http_port(loop, self.settings.ready, self._answer_readiness)
         metrics_at = (self.settings.bind_ip, METRICS_PORT)
         open_http_port(loop, metrics_at, self._answer_metrics_port)
@@ -181,7 +181,9 @@
 
     def _on_packets(self) -> None:
         balances = self.settings.balances
-        for raw, _ in datagrams.receive_batch(self.ports.sockets[Port.PACKETS]):
+        for raw, _ in datagrams.receive_batch(
+            self.ports.sockets[SocketRole.PACKETS]
+        ):
             now = self.loop.clock()
             try:
                 if balances:
@@ -206,7 +208,7 @@
     def _on_peers(self) -> None:
         balances = self.settings.balances
         for raw, (host, _) in datagrams.receive_batch(
-            self.ports.sockets[Port.PEERS]
+            self.ports.sockets[SocketRole.PEERS]
         ):
             now = self.loop.clock()
             try:
@@ -223,7 +225,7 @@
         from notchhoist.flows.codec.message_codec import decode_message
 
         for raw, (host, _) in datagrams.receive_batch(
-            self.ports.sockets[Port.CONTROL]
+            self.ports.sockets[SocketRole.CONTROL]
         ):
             try:
                 message = decode_message(raw)
@@ -250,16 +252,16 @@
         match effect:
             case SendAgent(host, datagram, flow, seq):
                 to = (host, settings.peer_ports[0])
-                self.ports.send(Port.PEERS, datagram, to, flow, seq)
+                self.ports.send(SocketRole.PEERS, datagram, to, flow, seq)
             case SendBalancer(host, datagram):
                 to = (host, settings.peer_ports[0])
-                self.ports.send(Port.PEERS, datagram, to)
+                self.ports.send(SocketRole.PEERS, datagram, to)
             case SendCaller(host, datagram, flow, seq):
                 to = (host, settings.packets[1])
-                self.ports.send(Port.PACKETS, datagram, to, flow, seq)
+                self.ports.send(SocketRole.PACKETS, datagram, to, flow, seq)
             case SendBackend():
                 # It is on this host: the packet does not use the link.
-                sock = self.ports.sockets[Port.PACKETS]
+                sock = self.ports.sockets[SocketRole.PACKETS]
                 datagrams.send(sock, effect.datagram, settings.backend)
             case SendPeer():
                 self._send_peer(effect)
@@ -275,7 +277,7 @@
         from notchhoist.flows.codec.message_codec import encode_message
 
         to = (effect.host, self.settings.peer_ports[0] + 1)
-        self.ports.send(Port.CONTROL, encode_message(effect.message), to)
+        self.ports.send(SocketRole.CONTROL, encode_message(effect.message), to)
 
     def _check_backend(self, sample: bytes) -> None:
         backend = self.settings.backend
@@ -295,11 +297,13 @@
             if result is not ConnectResult.REFUSED:
                 report(listens=True)
             elif sample:
-                check_packet_port(self.loop, backend, sample, on_packet_checked)
+                check_udp_port(self.loop, backend, sample, on_packet_checked)
             else:
                 report(listens=False)
 
-        check_port(self.loop, backend, BACKEND_WAIT_S, on_checked)
+        check_tcp_port(
+            self.loop, backend, BACKEND_CONNECT_TIMEOUT_S, on_checked
+        )
 
     def _check_host(self, host: str) -> None:
 
@@ -309,7 +313,7 @@
 
         # Every agent listens on the metrics port as soon as it serves.
         address = (host, METRICS_PORT)
-        check_port(self.loop, address, HOST_WAIT_S, on_checked)
+        check_tcp_port(self.loop, address, HOST_CONNECT_TIMEOUT_S, on_checked)
 
     def _log_decisions(self) -> None:
         decisions = self.node.board.records.decisions
--- a/notchhoist/daemon/flow_journal.py
+++ b/notchhoist/daemon/flow_journal.py
@@ -15,7 +15,7 @@
 from notchhoist.daemon.loop import Clock
 from notchhoist.flows.model.records import COSTLY_EVENTS, ROUTINE_EVENTS
 
-LINES_A_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 """Most lines a second; further ones are only counted, by event. A line of 243
 bytes takes 10 us (benchmarks/bench_logging.py), so this is 49 KB/s and 0.2% of
 a core."""
@@ -86,7 +86,10 @@
         """Counts a line against its limit; returns False if that is reached."""
         others = self.other_lines.total()
         if event in COSTLY_EVENTS:
-            if self.costly_lines + self.flow_lines + others >= LINES_A_SECOND:
+            if (
+                self.costly_lines + self.flow_lines + others
+                >= MAX_LINES_PER_SECOND
+            ):
                 return False
             self.costly_lines += 1
         elif event in ROUTINE_EVENTS:
--- a/notchhoist/daemon/flow_runner.py
+++ b/notchhoist/daemon/flow_runner.py
@@ -123,7 +123,7 @@
 
 def _read_store(daemon: FlowDaemon, node: BalancerNode) -> None:
     """Starts to read the platform's store."""
-    from notchhoist.daemon.http_call import HttpCaller
+    from notchhoist.daemon.http_call import HttpClient
     from notchhoist.daemon.store_calls import StoreCalls
     from notchhoist.flows.published.budget import PropagationBudget
     from notchhoist.platform.feeding import StoreFeeder
@@ -140,8 +140,8 @@
     calls = StoreCalls(
         loop=loop,
         feeder=StoreFeeder(node, reader),
-        caller=HttpCaller(loop, settings.store),
-        confirmer=HttpCaller(loop, settings.store),
+        client=HttpClient(loop, settings.store),
+        confirming_client=HttpClient(loop, settings.store),
         perform=daemon.perform,
         observe=daemon.observe,
     )
--- a/notchhoist/daemon/flow_state.py
+++ b/notchhoist/daemon/flow_state.py
@@ -266,7 +266,7 @@
             "flow": flow_text(request.flow),
             "waited_s": _age(now, request.arrived_at),
             "late_in_s": round(request.due - now, 3),
-            "priority": request.wish.priority,
+            "priority": request.hints.priority,
             "may_be_refused": request.unopened,
         }
 
--- a/notchhoist/daemon/http_call.py
+++ b/notchhoist/daemon/http_call.py
@@ -56,7 +56,7 @@
         self.complete = True
 
 
-class HttpCaller(Struct, eq=False):
+class HttpClient(Struct, eq=False):
     """Sends GET requests to one server.
 
     Attributes:
@@ -221,7 +221,7 @@
 
     def _disconnect(self) -> None:
         if self.sock is not None:
-            self.loop.forget(self.sock)
+            self.loop.stop_watching(self.sock)
             self.sock.close()
         self.sock = None
         self.connected = False
--- a/notchhoist/daemon/http_port.py
+++ b/notchhoist/daemon/http_port.py
@@ -133,7 +133,7 @@
 
     def _close(self, connection: _Connection) -> None:
         self.open.pop(connection, None)
-        self.loop.forget(connection.sock)
+        self.loop.stop_watching(connection.sock)
         connection.sock.close()
 
 
--- a/notchhoist/daemon/loop.py
+++ b/notchhoist/daemon/loop.py
@@ -67,10 +67,10 @@
     def _watch(
         self, sock: socket.socket, events: int, callback: Callback
     ) -> None:
-        self.forget(sock)
+        self.stop_watching(sock)
         self.selector.register(sock, events, callback)
 
-    def forget(self, sock: socket.socket) -> None:
+    def stop_watching(self, sock: socket.socket) -> None:
         """Removes the callback of a socket, if there is one."""
         try:
             self.selector.unregister(sock)
@@ -94,9 +94,9 @@
     def run(self) -> None:
         """Runs the loop until ``stop`` is called."""
         while self.running:
-            self.turn()
+            self.run_once()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Runs one iteration: waits for sockets or timers and calls them.
 
         Sockets precede timers: after a stall of the process, answers that
--- a/notchhoist/daemon/port_check.py
+++ b/notchhoist/daemon/port_check.py
@@ -7,10 +7,10 @@
 from notchhoist.daemon.loop import Loop
 from notchhoist.flows.model.effects import ConnectResult
 
-BACKEND_WAIT_S = 0.3
+BACKEND_CONNECT_TIMEOUT_S = 0.3
 """A backend server on this host accepts connections in this time, seconds."""
 
-HOST_WAIT_S = 0.25
+HOST_CONNECT_TIMEOUT_S = 0.25
 """Another host that is up answers within this time, seconds. A round trip
 between zones takes 3 ms, or 20 ms if the host has little CPU."""
 
@@ -21,7 +21,7 @@
 _REFUSED_ERRORS = (errno.ECONNREFUSED, errno.ECONNRESET)
 
 
-def check_port(
+def check_tcp_port(
     loop: Loop,
     address: tuple[str, int],
     wait_s: float,
@@ -41,7 +41,7 @@
 
     def finish(result: ConnectResult) -> None:
         timer.cancel()
-        loop.forget(sock)
+        loop.stop_watching(sock)
         sock.close()
         on_checked(result)
 
@@ -56,7 +56,7 @@
         loop.on_writable(sock, on_connected)
 
 
-def check_packet_port(
+def check_udp_port(
     loop: Loop,
     address: tuple[str, int],
     packet: bytes,
@@ -75,7 +75,7 @@
 
     def finish(result: ConnectResult) -> None:
         timer.cancel()
-        loop.forget(sock)
+        loop.stop_watching(sock)
         sock.close()
         on_checked(result)
 
--- a/notchhoist/daemon/ports.py
+++ b/notchhoist/daemon/ports.py
@@ -16,7 +16,7 @@
 processor time, and the link's own queue holds 0.02 s of earlier datagrams."""
 
 
-class Port(enum.IntEnum):
+class SocketRole(enum.IntEnum):
     """Purpose of a socket.
 
     Attributes:
@@ -35,7 +35,7 @@
 
     Attributes:
         loop: The event loop.
-        sockets: The sockets, by ``Port``.
+        sockets: The sockets, by ``SocketRole``.
         link: Decides which datagrams are sent now.
         records: Records how long datagrams waited.
         timer: Next send from the backlog.
@@ -49,7 +49,7 @@
 
     def send(
         self,
-        port: Port,
+        port: SocketRole,
         datagram: bytes,
         to: Address,
         flow: bytes = b"",
--- a/notchhoist/daemon/store_calls.py
+++ b/notchhoist/daemon/store_calls.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from notchhoist.daemon.http_call import NO_ANSWER, NOT_NEEDED, HttpCaller
+from notchhoist.daemon.http_call import NO_ANSWER, NOT_NEEDED, HttpClient
 from notchhoist.daemon.loop import Loop
 from notchhoist.flows.model.effects import Effect
 from notchhoist.flows.model.records import Timing
@@ -18,17 +18,17 @@
     Attributes:
         loop: The event loop.
         feeder: Decides which requests are sent and handles the responses.
-        caller: Sends the requests of ``call``.
-        confirmer: Sends those of ``confirm``, which cannot wait for a watch to
-            end.
+        client: Sends the requests of ``call``.
+        confirming_client: Sends those of ``confirm``, which cannot wait for a
+            watch to end.
         perform: Performs effects.
         observe: Records the time since a given time, by timing and outcome.
     """
 
     loop: Loop
     feeder: StoreFeeder
-    caller: HttpCaller
-    confirmer: HttpCaller
+    client: HttpClient
+    confirming_client: HttpClient
     perform: Callable[[Iterable[Effect]], None]
     observe: Callable[[Timing, str, float], None]
 
@@ -40,7 +40,7 @@
             return
         feeder = self.feeder
         self._send(
-            self.caller,
+            self.client,
             call,
             feeder.on_answer,
             self._on_failed,
@@ -57,7 +57,7 @@
         """Sends a confirming request; no other one may be pending."""
         feeder = self.feeder
         self._send(
-            self.confirmer,
+            self.confirming_client,
             feeder.confirming_call(self.loop.clock()),
             feeder.on_confirmation,
             feeder.on_confirmation_failed,
@@ -65,7 +65,7 @@
 
     def _send(
         self,
-        caller: HttpCaller,
+        caller: HttpClient,
         call: StoreCall,
         on_answer: Callable[[int, bytes, float, Mapping[str, str]], None],
         on_failed: Callable[[str, float], None],
@@ -86,11 +86,16 @@
             self._on_finished(caller)
 
         caller.get(
-            call.target, call.timeout_s, done, failed, call.most_s, is_needed
+            call.target,
+            call.timeout_s,
+            done,
+            failed,
+            call.total_timeout_s,
+            is_needed,
         )
 
-    def _on_finished(self, caller: HttpCaller) -> None:
-        if caller is self.caller:
+    def _on_finished(self, caller: HttpClient) -> None:
+        if caller is self.client:
             self._schedule()
         else:
             self.perform(self.feeder.node.take_effects())
--- a/notchhoist/daemon/tests/test_flow_journal.py
+++ b/notchhoist/daemon/tests/test_flow_journal.py
@@ -3,9 +3,9 @@
 import json
 
 from notchhoist.daemon.flow_journal import (
-    LINES_A_SECOND,
     MAX_FLOW_LINES,
     MAX_LINES_PER_EVENT,
+    MAX_LINES_PER_SECOND,
     MAX_OTHER_LINES,
     MAX_UNSAMPLED_FLOW_LINES,
     FlowJournal,
@@ -44,9 +44,9 @@
 def test_lines_beyond_the_limit_are_dropped_and_counted_by_event():
     reader, now = Reader(), [10.0]
     log_writer = journal(reader, now)
-    for _ in range(LINES_A_SECOND + 30):
+    for _ in range(MAX_LINES_PER_SECOND + 30):
         log_writer.log("reset")
-    assert len(reader.lines) == LINES_A_SECOND
+    assert len(reader.lines) == MAX_LINES_PER_SECOND
     now[0] += 1.0
     log_writer.log("place")
     assert reader.lines[-2]["dropped"] == {"reset": 30}
@@ -92,11 +92,11 @@
     for number in range(500):
         log_writer.log("place", flow=f"f{number}")
         log_writer.log(f"event {number}")
-    for number in range(LINES_A_SECOND - COSTLESS_LINES):
+    for number in range(MAX_LINES_PER_SECOND - COSTLESS_LINES):
         log_writer.log("reset", flow=f"f{number}")
     events = [line["message_type"] for line in reader.lines]
-    assert events.count("reset") == LINES_A_SECOND - COSTLESS_LINES
-    assert len(events) <= LINES_A_SECOND
+    assert events.count("reset") == MAX_LINES_PER_SECOND - COSTLESS_LINES
+    assert len(events) <= MAX_LINES_PER_SECOND
 
 
 def test_every_host_keeps_the_lines_of_the_same_flows():
--- a/notchhoist/daemon/tests/test_http_call.py
+++ b/notchhoist/daemon/tests/test_http_call.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from notchhoist.daemon.http_call import HttpCaller
+from notchhoist.daemon.http_call import HttpClient
 from notchhoist.daemon.loop import Loop
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
@@ -27,7 +27,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.loop = Loop(lambda: self.now)
         address = self.listener.getsockname()
-        self.caller = HttpCaller(self.loop, address)
+        self.caller = HttpClient(self.loop, address)
 
     def call(self, **fields):
         self.caller.get(
@@ -45,11 +45,11 @@
                 return
             connection.sendall(bytes([byte]))
             self.now += pause_s
-            self.loop.turn()
+            self.loop.run_once()
 
     def accept(self):
         """Accepts the connection and receives the request."""
-        self.loop.turn()
+        self.loop.run_once()
         connection, _ = self.listener.accept()
         connection.recv(1000)
         return connection
@@ -74,15 +74,15 @@
     with exchange.accept() as silent:
         if sent:
             silent.sendall(sent)
-            exchange.loop.turn()
+            exchange.loop.run_once()
         assert not exchange.failures
         exchange.now += TIMEOUT_S
-        exchange.loop.turn()
+        exchange.loop.run_once()
         assert exchange.failures == ["no answer in time"]
         exchange.call()
         with exchange.accept() as fresh:
             fresh.sendall(RESPONSE_HEAD + b"news")
-            exchange.loop.turn()
+            exchange.loop.run_once()
     assert exchange.responses == [(200, b"news")]
 
 
@@ -96,7 +96,7 @@
         exchange.call()
         with exchange.accept() as connection:
             connection.sendall(RESPONSE_HEAD + b"news")
-            exchange.loop.turn()
+            exchange.loop.run_once()
             assert connection.recv(1000) == b""
     assert exchange.responses == [(200, b"news")] * 2
 
@@ -118,7 +118,7 @@
             slow_connection, RESPONSE_HEAD + b"n", 0.9 * TIMEOUT_S
         )
         exchange.now += TIMEOUT_S
-        exchange.loop.turn()
+        exchange.loop.run_once()
     assert exchange.failures == ["no answer in time"]
 
 
--- a/notchhoist/daemon/tests/test_loop.py
+++ b/notchhoist/daemon/tests/test_loop.py
@@ -12,7 +12,7 @@
     loop.call_at(0.1, lambda: calls.append("early"))
     loop.call_at(0.15, lambda: calls.append("never")).cancel()
     now[0] = 0.3
-    loop.turn()
+    loop.run_once()
     assert calls == ["early", "late"]
 
 
@@ -26,7 +26,7 @@
         loop.call_at(0.1, lambda: calls.append("timer"))
         left.send(b"x")
         now[0] = 5.0
-        loop.turn()
+        loop.run_once()
     assert calls == [b"x", "timer"]
 
 
@@ -35,6 +35,6 @@
     left, right = socket.socketpair()
     with left, right:
         loop.on_readable(right, lambda: None)
-        loop.forget(right)
-        loop.forget(right)
+        loop.stop_watching(right)
+        loop.stop_watching(right)
         assert not loop.selector.get_map()
--- a/notchhoist/daemon/tests/test_port_check.py
+++ b/notchhoist/daemon/tests/test_port_check.py
@@ -4,7 +4,7 @@
 import time
 
 from notchhoist.daemon.loop import Loop
-from notchhoist.daemon.port_check import check_packet_port
+from notchhoist.daemon.port_check import check_udp_port
 from notchhoist.flows.model.effects import ConnectResult
 
 
@@ -15,7 +15,7 @@
         results.append(result)
         loop.stop()
 
-    check_packet_port(loop, address, b"packet", finish)
+    check_udp_port(loop, address, b"packet", finish)
     loop.run()
     return results
 
--- a/notchhoist/daemon/tests/test_ticks.py
+++ b/notchhoist/daemon/tests/test_ticks.py
@@ -39,7 +39,7 @@
     for _ in range(PACKETS):
         now[0] += packet_interval_s
         daemon.perform([])
-        loop.turn()
+        loop.run_once()
     return node
 
 
--- a/notchhoist/flows/agent/packet_forwarder.py
+++ b/notchhoist/flows/agent/packet_forwarder.py
@@ -81,11 +81,11 @@
             )
             return
         self._update_held(held, host, segment, now)
-        wish = notes.hints_of(segment.note)
+        hints = notes.hints_of(segment.note)
         first = opening or held.request_end is None
         if first and self.board.uses.opening_wish:
-            wish = held.hints_at(wish, now)
-        self.request_gate.admit(held, segment, wish, opening, now)
+            hints = held.hints_at(hints, now)
+        self.request_gate.admit(held, segment, hints, opening, now)
 
     def _update_held(
         self, held: BackendFlow, host: str, segment: Segment, now: float
--- a/notchhoist/flows/agent/request_gate.py
+++ b/notchhoist/flows/agent/request_gate.py
@@ -61,7 +61,7 @@
         self,
         held: BackendFlow,
         segment: Segment,
-        wish: RequestHints,
+        hints: RequestHints,
         opening: bool,
         now: float,
     ) -> None:
@@ -70,7 +70,7 @@
         Args:
             held: The flow.
             segment: The packet.
-            wish: What the balancer reports of the flow's requests.
+            hints: What the balancer reports of the flow's requests.
             opening: The packet completes the handshake.
             now: Runtime clock, seconds.
         """
@@ -81,19 +81,19 @@
             self.refuser.reset_abandoned(waiting, segment, now)
             return
         if segment.resets:
-            self._note_abandoned(held, now)
+            self._record_abandonment(held, now)
             self.forget(segment.flow, now)
         elif waiting is not None:
             if segment.size or segment.closes or waiting.unopened:
                 waiting.add(segment)
                 return
         elif opening or (segment.size and held.is_new_data(segment)):
-            if held.running_since is None and not wish.upload:
-                self.queue.note_arrival(wish, now)
-            if held.running_since is None and self._must_queue(wish):
-                self._enqueue(held, segment, wish, opening, now)
+            if held.running_since is None and not hints.upload:
+                self.queue.record_arrival(hints, now)
+            if held.running_since is None and self._must_queue(hints):
+                self._enqueue(held, segment, hints, opening, now)
                 return
-            self._start_request(held, segment, wish, now)
+            self._start_request(held, segment, hints, now)
         self._forward(segment)
 
     def _is_abandoned(
@@ -103,9 +103,9 @@
             segment, now
         )
 
-    def _must_queue(self, wish: RequestHints) -> bool:
+    def _must_queue(self, hints: RequestHints) -> bool:
         board = self.board
-        if wish.upload or not board.slots or not board.uses.holding:
+        if hints.upload or not board.slots or not board.uses.holding:
             return False
         return len(board.active) >= board.slots
 
@@ -113,7 +113,7 @@
         self,
         held: BackendFlow,
         segment: Segment,
-        wish: RequestHints,
+        hints: RequestHints,
         opening: bool,
         now: float,
     ) -> None:
@@ -122,9 +122,9 @@
             or not self.board.uses.doubt
         ):
             # Only this balancer is new; the others know of earlier attempts.
-            wish = structs.replace(wish, may_be_retry=False)
+            hints = structs.replace(hints, may_be_retry=False)
         request = QueuedRequest(
-            segment.flow, held, [segment], now, wish, opening
+            segment.flow, held, [segment], now, hints, opening
         )
         self.board.waiting[segment.flow] = request
         self.board.reserved_until.pop(segment.flow, None)
@@ -134,13 +134,13 @@
         self,
         held: BackendFlow,
         segment: Segment,
-        wish: RequestHints,
+        hints: RequestHints,
         now: float,
     ) -> None:
         if not segment.size:
             return
         held.record_request(segment, now)
-        if not wish.upload:
+        if not hints.upload:
             self.board.active.add(segment.flow)
 
     def _forward(self, segment: Segment) -> None:
@@ -175,23 +175,25 @@
     def on_reset(self, held: BackendFlow) -> None:
         """Records a flow that the server has reset."""
         # Data that crosses the end of a flow by its server is reset, too.
-        self._note_failed(held, by_reset=held.phase is not Phase.CLOSED)
+        self._record_failure(held, by_reset=held.phase is not Phase.CLOSED)
 
-    def _note_failed(self, held: BackendFlow, by_reset: bool = False) -> None:
+    def _record_failure(
+        self, held: BackendFlow, by_reset: bool = False
+    ) -> None:
         """Records the failure of a request that is still unanswered."""
         if held.running_since is not None:
             self.answer_times.note_failure(by_reset)
             self.board.records.counters[Count.REQUESTS_BROKEN] += 1
             self._log_failing()
 
-    def _note_abandoned(self, held: BackendFlow, now: float) -> None:
+    def _record_abandonment(self, held: BackendFlow, now: float) -> None:
         """Records a failure if a request was unanswered unusually long."""
         waited_s = now - held.request_at
         failed_after_s = max(
             ABANDONED_MIN_S, STALLED_REQUEST_SERVICE_TIMES * self.board.pace_s
         )
         if held.running_since is not None and waited_s > failed_after_s:
-            self._note_failed(held)
+            self._record_failure(held)
 
     def service_time_s(self) -> float:
         """Returns the service time, assumed before the first answer, seconds.
@@ -255,16 +257,16 @@
             request.flow,
             outcome,
             waited_s=round(now - request.arrived_at, 3),
-            age_s=request.wish.waited_s,
+            age_s=request.hints.waited_s,
             left_s=round(request.expires_at - now, 3),
-            objective_s=request.wish.objective_s,
+            objective_s=request.hints.objective_s,
             pace_s=round(board.pace_s, 3),
             waiting=len(board.waiting),
             active=len(board.active),
             slots=board.slots,
         )
         for segment in request.segments:
-            self._start_request(request.held, segment, request.wish, now)
+            self._start_request(request.held, segment, request.hints, now)
             self._forward(segment)
 
     def tick(self, now: float) -> None:
@@ -316,7 +318,7 @@
             since = held.running_since if held is not None else None
             if since is None or now - since > self.answer_timeout_s():
                 if held is not None:
-                    self._note_abandoned(held, now)
+                    self._record_abandonment(held, now)
                 self._free_slot(flow, now)
 
     def answer_timeout_s(self) -> float:
--- a/notchhoist/flows/agent/tests/test_free_slots.py
+++ b/notchhoist/flows/agent/tests/test_free_slots.py
@@ -99,7 +99,7 @@
 
 def test_upload_takes_no_slot():
     node = agent(slots=1)
-    offer(node, 1, kind=NoteKind.PLACE, wish=RequestHints(upload=True))
+    offer(node, 1, kind=NoteKind.PLACE, hints=RequestHints(upload=True))
     assert to_backend(offer(node, 2))
 
 
--- a/notchhoist/flows/agent/tests/test_request_gate.py
+++ b/notchhoist/flows/agent/tests/test_request_gate.py
@@ -48,9 +48,9 @@
     late = RequestHints(objective_s=0.225, waited_s=0.7, priority=2)
     for port in (1, 3):
         accept(node, port)
-    accept(node, 2, wish=late)
+    accept(node, 2, hints=late)
     send_request(node, 1)
-    send_request(node, 2, wish=late)
+    send_request(node, 2, hints=late)
     send_request(node, 3, START + 0.01)
     [effect] = to_backend(send_answer(node, 1, START + 0.02))
     assert CODEC.decode_request(effect.datagram).flow == request(port=3).flow
@@ -61,10 +61,10 @@
     high = RequestHints(objective_s=0.225, priority=1)
     for port in (1, 2):
         accept(node, port)
-    accept(node, 3, wish=high)
+    accept(node, 3, hints=high)
     send_request(node, 1)
     send_request(node, 2)
-    send_request(node, 3, wish=high)
+    send_request(node, 3, hints=high)
     [effect] = to_backend(send_answer(node, 1, START + 0.02))
     assert CODEC.decode_request(effect.datagram).flow == request(port=3).flow
 
@@ -177,11 +177,11 @@
         objective_s=0.225, waited_s=0.7, remaining_s=0.1
     )
     accept(node, 1)
-    accept(node, 2, wish=nearly_expired)
+    accept(node, 2, hints=nearly_expired)
     send_request(node, 1)
     handshake_end = request(ack=SERVER_SEQ + 1, port=2)
     assert not to_backend(
-        send(node, handshake_end, NoteKind.FORWARD, wish=nearly_expired)
+        send(node, handshake_end, NoteKind.FORWARD, hints=nearly_expired)
     )
     assert to_balancer(node.tick(START + 0.1)) == [NoteKind.REFUSED]
     effects = send_request(node, 2, START + 0.11)
@@ -231,14 +231,14 @@
     node = agent(slots=1)
     late = RequestHints(objective_s=0.225, waited_s=0.7, remaining_s=1.2)
     accept(node, 1)
-    accept(node, 2, wish=late)
+    accept(node, 2, hints=late)
     send_request(node, 1)
     send_request(
         node,
         2,
         START + 0.1,
-        wish=RequestHints(objective_s=0.225, remaining_s=2.0),
+        hints=RequestHints(objective_s=0.225, remaining_s=2.0),
     )
     [request_held] = node.board.waiting.values()
-    assert request_held.wish.waited_s == pytest.approx(0.8)
+    assert request_held.hints.waited_s == pytest.approx(0.8)
     assert request_held.expires_at == pytest.approx(START + 1.2)
--- a/notchhoist/flows/balancer/__init__.py
+++ b/notchhoist/flows/balancer/__init__.py
@@ -18,9 +18,9 @@
 * ``idle_flows``: idle flows whose server may be down.
 * ``node``: combines the controllers.
 
-``decisions.early`` buffers a caller's packet until routes and servers are
-known. The packet then goes to ``opening`` if it opens a flow, to ``forwarding``
-if its flow is placed, and to ``finding`` otherwise. A packet from an agent
-first tells ``health`` that the agent is alive; the answer to an offer then goes
-to ``accepting`` or ``opening``, everything else to ``finding``.
+``decisions.early_packets`` buffers a caller's packet until routes and servers
+are known. The packet then goes to ``opening`` if it opens a flow, to
+``forwarding`` if its flow is placed, and to ``finding`` otherwise. A packet
+from an agent first tells ``health`` that the agent is alive; the answer to an
+offer then goes to ``accepting`` or ``opening``, everything else to ``finding``.
 """
--- a/notchhoist/flows/balancer/forwarding.py
+++ b/notchhoist/flows/balancer/forwarding.py
@@ -44,8 +44,8 @@
         placement.last = segment
         placement.first_forwarded_at = min(placement.first_forwarded_at, now)
         placement.closing = placement.closing or segment.closes
-        wish = _wish(route, placement, segment, now)
-        note = notes.to_agent(NoteKind.FORWARD, server.tag, wish)
+        hints = _hints(route, placement, segment, now)
+        note = notes.to_agent(NoteKind.FORWARD, server.tag, hints)
         datagram = self.codec.with_note(segment, note)
         self.board.outbox.append(
             SendAgent(server.entry.host, datagram, segment.flow, segment.seq)
@@ -53,7 +53,7 @@
         self.health.on_packet_sent(server, now)
 
 
-def _wish(
+def _hints(
     route: Route, placement: Placement, segment: Segment, now: float
 ) -> RequestHints:
     """Returns the request hints that the packet carries to the agent."""
--- a/notchhoist/flows/balancer/node.py
+++ b/notchhoist/flows/balancer/node.py
@@ -320,23 +320,23 @@
     fleet = make_fleet_updater(board)
     draw, numbers = make_draw(seed), make_draw(f"numbers of {seed}")
     number = first_number(numbers)
-    sharer = make_view_synchronizer(board, fleet, seeds, link_mbps, number)
-    informer = AgentInformer(board, sharer)
-    questions = make_flow_queries(
-        board, codec, distances, first_number(numbers)
+    synchronizer = make_view_synchronizer(
+        board, fleet, seeds, link_mbps, number
     )
-    evidence = AbsenceChecker(board)
+    informer = AgentInformer(board, synchronizer)
+    queries = make_flow_queries(board, codec, distances, first_number(numbers))
+    absence = AbsenceChecker(board)
     finder = FlowFinder(
         board,
         codec,
         health,
         resetter,
         ViewConfirmer(board),
-        questions,
-        SampleSender(board, codec, questions),
+        queries,
+        SampleSender(board, codec, queries),
         FlowResumer(board, codec, health),
-        evidence,
-        SearchScope(board, evidence),
+        absence,
+        SearchScope(board, absence),
     )
     return BalancerNode(
         board=board,
@@ -350,9 +350,9 @@
         forwarder=FlowForwarder(board, codec, health),
         finder=finder,
         reroute_detector=RerouteDetector(board),
-        synchronizer=sharer,
+        synchronizer=synchronizer,
         informer=informer,
-        isolation=IsolationDetector(board, health, sharer),
+        isolation=IsolationDetector(board, health, synchronizer),
         early=early,
         idle_monitor=IdleFlowMonitor(board, codec, health, finder),
     )
--- a/notchhoist/flows/balancer/opening.py
+++ b/notchhoist/flows/balancer/opening.py
@@ -64,8 +64,8 @@
         placement = self.board.flows.get(flow)
         if placement is not None and placement.accepted:
             # The server's acceptance may have been lost; the server repeats it.
-            wish = route.request_hints(segment.waited_s)
-            self._send(placement.server, segment, wish, now)
+            hints = route.request_hints(segment.waited_s)
+            self._send(placement.server, segment, hints, now)
             return
         opening = self.board.openings.get(flow)
         if opening is None:
@@ -146,8 +146,8 @@
         self.informer.before_offer(server, now)
         self._record_placement(opening, server, now)
         age_s = now - opening.waiting_since
-        wish = opening.route.request_hints(age_s, opening.may_be_retry)
-        self._send(server, opening.segment, wish, now, opening.if_free)
+        hints = opening.route.request_hints(age_s, opening.may_be_retry)
+        self._send(server, opening.segment, hints, now, opening.if_free)
 
     def _record_offer(
         self, opening: Opening, server: Server, choices: int, now: float
@@ -219,7 +219,7 @@
         self,
         server: Server,
         segment: Segment,
-        wish: RequestHints,
+        hints: RequestHints,
         now: float,
         if_free: bool = False,
     ) -> None:
@@ -229,7 +229,7 @@
         elif if_free:
             kind = NoteKind.PLACE_IF_FREE
             self.board.records.counters[Count.OFFERED_IF_FREE] += 1
-        note = notes.to_agent(kind, server.tag, wish)
+        note = notes.to_agent(kind, server.tag, hints)
         datagram = self.codec.with_note(segment, note)
         self.board.outbox.append(SendAgent(server.entry.host, datagram))
         self.health.on_packet_sent(server, now)
--- a/notchhoist/flows/balancer/sample_packets.py
+++ b/notchhoist/flows/balancer/sample_packets.py
@@ -88,10 +88,10 @@
     table = board.table
     service_key = search.waiting[0].service_key
     route = table.routes.get(service_key) if table else None
-    wish = notes.NO_HINTS
+    hints = notes.NO_HINTS
     if route is not None and board.uses.kept_wish:
-        wish = route.request_hints(now - search.since)
-    return notes.to_agent(kind, tag, wish)
+        hints = route.request_hints(now - search.since)
+    return notes.to_agent(kind, tag, hints)
 
 
 def _sample_rank(segment: Segment) -> tuple[bool, bool, int]:
--- a/notchhoist/flows/boards/balancer_board.py
+++ b/notchhoist/flows/boards/balancer_board.py
@@ -72,7 +72,7 @@
         tried: Ids of the servers that it was offered to.
         busy: Ids of those of them that had no free slot.
         if_free: The last offer was conditional on a free slot.
-        may_be_retry: See ``Wish``.
+        may_be_retry: See ``RequestHints``.
     """
 
     waiting_since: float
--- a/notchhoist/flows/decisions/queued_requests.py
+++ b/notchhoist/flows/decisions/queued_requests.py
@@ -51,7 +51,7 @@
         held: State of the flow at the agent.
         segments: Its packets.
         arrived_at: When the first packet arrived, seconds.
-        wish: Hints on the request and its caller, as of ``arrived_at``.
+        hints: Hints on the request and its caller, as of ``arrived_at``.
         unopened: The last packet of the handshake has not been forwarded to the
             backend server, so the request cannot have run.
         closes: Its caller has closed the flow along with the request: it
@@ -62,25 +62,25 @@
     held: BackendFlow
     segments: list[Segment]
     arrived_at: float
-    wish: RequestHints
+    hints: RequestHints
     unopened: bool = False
     closes: bool = False
 
     @property
     def due(self) -> float:
         """When its latency objective ends, seconds."""
-        return self.arrived_at - self.wish.waited_s + self.wish.objective_s
+        return self.arrived_at - self.hints.waited_s + self.hints.objective_s
 
     @property
     def expires_at(self) -> float:
         """When its caller's timeout ends, known or assumed, seconds."""
-        left_s = self.wish.remaining_s or self._default_left_s()
+        left_s = self.hints.remaining_s or self._default_remaining_s()
         return self.arrived_at + left_s
 
-    def _default_left_s(self) -> float:
-        if self.unopened or not self.wish.objective_s:
+    def _default_remaining_s(self) -> float:
+        if self.unopened or not self.hints.objective_s:
             return DEFAULT_WAIT_MAX_S
-        longest_s = OPEN_FLOW_WAIT_OBJECTIVES * self.wish.objective_s
+        longest_s = OPEN_FLOW_WAIT_OBJECTIVES * self.hints.objective_s
         return min(OPEN_FLOW_WAIT_MAX_S, longest_s)
 
     def is_late(self, now: float, pace_s: float) -> bool:
@@ -99,7 +99,7 @@
         is its first connection attempt.
         """
         ends_at = self.expires_at
-        if self.wish.may_be_retry and now <= ends_at - RETRY_DELAY_MAX_S:
+        if self.hints.may_be_retry and now <= ends_at - RETRY_DELAY_MAX_S:
             ends_at -= RETRY_DELAY_MAX_S
         return ends_at - SAFE_START_SERVICE_TIMES * pace_s
 
--- a/notchhoist/flows/decisions/queueing.py
+++ b/notchhoist/flows/decisions/queueing.py
@@ -53,14 +53,14 @@
     recent_arrivals: float = 0.0
     arrived_at: float = float("-inf")
 
-    def note_arrival(self, wish: RequestHints, now: float) -> None:
+    def record_arrival(self, hints: RequestHints, now: float) -> None:
         """Counts a request if it is new.
 
         Args:
-            wish: Hints on the request and its caller.
+            hints: Hints on the request and its caller.
             now: Runtime clock, seconds.
         """
-        if wish.may_be_retry or wish.waited_s > NEW_REQUEST_MAX_AGE_S:
+        if hints.may_be_retry or hints.waited_s > NEW_REQUEST_MAX_AGE_S:
             return
         self.recent_arrivals = self._decayed_arrivals(now) + 1.0
         self.arrived_at = now
@@ -123,7 +123,7 @@
             is_late = item.is_late(now, pace_s)
             if not is_late:
                 on_time.append(item)
-            if is_late or item.wish.may_be_retry:
+            if is_late or item.hints.may_be_retry:
                 late.append(item)
         late.sort(key=lambda item: item.safe_start(now, pace_s))
         if not on_time:
@@ -138,7 +138,7 @@
         return first_servable(late, now, pace_s) or best
 
     def _rank(self, item: QueuedRequest) -> tuple[int, float]:
-        priority = item.wish.priority if self.uses.priority else 0
+        priority = item.hints.priority if self.uses.priority else 0
         return priority, item.due
 
 
--- a/notchhoist/flows/decisions/tests/test_queueing.py
+++ b/notchhoist/flows/decisions/tests/test_queueing.py
@@ -56,7 +56,7 @@
 def test_late_request_does_not_go_first_if_new_ones_fill_the_server():
     queue = SlotQueue()
     for number in range(200):
-        queue.note_arrival(waiting().wish, number / (1.2 * CAPACITY))
+        queue.record_arrival(waiting().hints, number / (1.2 * CAPACITY))
     now = 200 / (1.2 * CAPACITY)
     late, new = waiting(now, age_s=2.4), waiting(now)
     assert pick(late, new, now=now, queue=queue) is new
@@ -65,8 +65,8 @@
 def test_retries_do_not_count_as_new_requests():
     queue = SlotQueue()
     for _ in range(100):
-        queue.note_arrival(waiting(age_s=0.5).wish, 0.0)
-        queue.note_arrival(waiting(may_be_retry=True).wish, 0.0)
+        queue.record_arrival(waiting(age_s=0.5).hints, 0.0)
+        queue.record_arrival(waiting(may_be_retry=True).hints, 0.0)
     assert queue.load(0.0, PACE_S, SLOTS) == 0.0
 
 
@@ -105,7 +105,7 @@
 class FirstComeFirstServed:
     """A baseline queue: order of arrival; no request is refused."""
 
-    def note_arrival(self, wish, now):
+    def record_arrival(self, wish, now):
         pass
 
     def pick(self, requests, now, pace_s, slots):
@@ -141,7 +141,7 @@
     while now < seconds + TIMEOUT_S:
         while arrivals and arrivals[0] <= now:
             queued.append(waiting(arrivals.pop(0)))
-            queue.note_arrival(queued[-1].wish, now)
+            queue.record_arrival(queued[-1].hints, now)
         lost = [item for item in queued if now >= item.expires_at]
         if sheds:
             lost += unservable(
--- a/notchhoist/flows/model/backend_flows.py
+++ b/notchhoist/flows/model/backend_flows.py
@@ -123,15 +123,16 @@
     last_data_packet: Segment | None = None
     flow_probed_at: float | None = None
 
-    def hints_at(self, told: RequestHints, now: float) -> RequestHints:
+    def hints_at(self, received: RequestHints, now: float) -> RequestHints:
         """Returns the hints on the first request and its caller.
 
         Args:
-            told: Hints that came with the request, used without earlier ones.
+            received: Hints that came with the request, used without earlier
+                ones.
             now: Runtime clock, seconds.
         """
         if self.hints is None:
-            return told
+            return received
         return self.hints.aged(now - self.hints_received_at)
 
     def is_busy(self, now: float, stuck_s: float, expected_s: float) -> bool:
--- a/notchhoist/flows/published/tables.py
+++ b/notchhoist/flows/published/tables.py
@@ -108,8 +108,8 @@
         if not matches_digest(table, change):
             return False
         newest = change.revision >= board.view.revision
-        mends = change.base == 0 and newest
-        self.on_table(table, change.revision, mends, sender)
+        replace_same_version = change.base == 0 and newest
+        self.on_table(table, change.revision, replace_same_version, sender)
         if change.base:
             board.view.record_received_changes(change)
         return True
--- a/notchhoist/flows/tests/agent_harness.py
+++ b/notchhoist/flows/tests/agent_harness.py
@@ -35,8 +35,8 @@
     return node
 
 
-def send(node, segment, kind, now=START, wish=DEFAULT_HINTS, tag=TAG):
-    note = notes.to_agent(kind, tag, wish)
+def send(node, segment, kind, now=START, hints=DEFAULT_HINTS, tag=TAG):
+    note = notes.to_agent(kind, tag, hints)
     return node.on_balancer(BALANCER, crafting.with_note(segment, note), now)
 
 
@@ -52,17 +52,17 @@
     ]
 
 
-def accept(node, port, now=START, wish=DEFAULT_HINTS):
+def accept(node, port, now=START, hints=DEFAULT_HINTS):
     """Opens a flow until the server accepts it."""
-    send(node, request(flags=SYN, port=port), NoteKind.PLACE, now, wish)
+    send(node, request(flags=SYN, port=port), NoteKind.PLACE, now, hints)
     accepted = answer(flags=SYN | ACK, seq=SERVER_SEQ, ack=1, port=port)
     return node.on_backend(accepted, now)
 
 
-def send_request(node, port, now=START, seq=1, wish=DEFAULT_HINTS):
+def send_request(node, port, now=START, seq=1, hints=DEFAULT_HINTS):
     """Sends a request on an accepted flow."""
     data = request(data=b"x" * 9, seq=seq, ack=SERVER_SEQ + 1, port=port)
-    return send(node, data, NoteKind.FORWARD, now, wish)
+    return send(node, data, NoteKind.FORWARD, now, hints)
 
 
 def send_answer(node, port, now=START):
--- a/notchhoist/platform/__init__.py
+++ b/notchhoist/platform/__init__.py
@@ -2,7 +2,8 @@
 
 Each module imports only modules that stand above it in this list:
 
-* ``checking``: validates fields of decoded JSON; errors name the field's place.
+* ``json_fields``: validates fields of decoded JSON; errors name the field's
+  place.
 * ``packets``: encodes and decodes the packets of flows.
 * ``documents``: decodes the configuration and the backend servers' entries.
 * ``eras``: reads the era of the store from an answer.
--- a/notchhoist/platform/calls.py
+++ b/notchhoist/platform/calls.py
@@ -49,14 +49,14 @@
         purpose: Kind of the call, a label in the metrics.
         target: Path and query of the URL.
         timeout_s: Timeout while no part of the answer arrives, seconds.
-        most_s: Timeout of the whole call while its answer is arriving, seconds;
-            ``timeout_s`` holds if it is longer.
+        total_timeout_s: Timeout of the whole call while its answer is arriving,
+            seconds; ``timeout_s`` holds if it is longer.
     """
 
     purpose: str
     target: str
     timeout_s: float
-    most_s: float = 0.0
+    total_timeout_s: float = 0.0
 
 
 def listing_timeout_s(has_state: bool, failures: int) -> float:
--- a/notchhoist/platform/changes.py
+++ b/notchhoist/platform/changes.py
@@ -4,9 +4,9 @@
 
 from notchhoist.base.errors import PlatformError
 from notchhoist.flows.model.revisions import make_revision
-from notchhoist.platform.checking import FieldError, Fields
 from notchhoist.platform.documents import decode_json
 from notchhoist.platform.items import MAX_REVISION, StoreEvent, read_item
+from notchhoist.platform.json_fields import FieldError, Fields
 
 
 class StoreChanges(Struct, frozen=True):
--- a/notchhoist/platform/documents.py
+++ b/notchhoist/platform/documents.py
@@ -14,7 +14,7 @@
     RouteTable,
     ServerEntry,
 )
-from notchhoist.platform.checking import (
+from notchhoist.platform.json_fields import (
     FieldError,
     Fields,
     Problems,
--- a/notchhoist/platform/eras.py
+++ b/notchhoist/platform/eras.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from notchhoist.platform.checking import FieldError
+from notchhoist.platform.json_fields import FieldError
 
 ERA_HEADER = "store-era"
 """Header of each answer of the store; each restore from a backup adds one."""
--- a/notchhoist/platform/feeding.py
+++ b/notchhoist/platform/feeding.py
@@ -12,9 +12,9 @@
 from notchhoist.platform import items
 from notchhoist.platform.calls import HISTORY_GONE, StoreCall
 from notchhoist.platform.changes import read_confirmation
-from notchhoist.platform.checking import FieldError
 from notchhoist.platform.eras import ERA_HEADER, read_era
 from notchhoist.platform.items import ServersListed, StoreEvent
+from notchhoist.platform.json_fields import FieldError
 from notchhoist.platform.store import StoreReader
 from notchhoist.platform.unnamed_eras import shows_older_state
 
--- a/notchhoist/platform/items.py
+++ b/notchhoist/platform/items.py
@@ -5,12 +5,12 @@
 from notchhoist.base.errors import ConfigurationRefusedError
 from notchhoist.flows.model.fleet import RouteTable, ServerEntry
 from notchhoist.flows.model.revisions import COUNTS_PER_ERA, make_revision
-from notchhoist.platform.checking import FieldError, Fields
 from notchhoist.platform.documents import (
     decode_configuration,
     decode_entry,
     decode_value,
 )
+from notchhoist.platform.json_fields import FieldError, Fields
 
 CONFIGURATION_KEY = "op/config"
 SERVERS_PREFIX = "servers/"
--- a/notchhoist/platform/checking.py
+++ b/notchhoist/platform/json_fields.py
@@ -79,7 +79,7 @@
         >>> Fields({"slots": "x"}, "server").integer("slots", 1, 100)
         Traceback (most recent call last):
         ...
-        notchhoist.platform.checking.FieldError: server.slots: expected a \
+        notchhoist.platform.json_fields.FieldError: server.slots: expected a \
 whole number from 1 to 100, got 'x'
     """
 
--- a/notchhoist/platform/settings.py
+++ b/notchhoist/platform/settings.py
@@ -9,14 +9,14 @@
 
 from notchhoist.base.errors import ConfigurationProblem, SettingsRefusedError
 from notchhoist.flows.model.mechanisms import ALL, NAMES, Mechanisms
-from notchhoist.platform.checking import (
+from notchhoist.platform.documents import decode_json
+from notchhoist.platform.json_fields import (
     FieldError,
     Fields,
     Problems,
     SeveralFieldsError,
     split_address,
 )
-from notchhoist.platform.documents import decode_json
 
 PATH_VARIABLE = "NOTCHHOIST_NODE_FILE"
 
--- a/notchhoist/platform/store.py
+++ b/notchhoist/platform/store.py
@@ -27,7 +27,6 @@
     pause_s,
 )
 from notchhoist.platform.changes import read_changes
-from notchhoist.platform.checking import FieldError, Fields
 from notchhoist.platform.documents import decode_json
 from notchhoist.platform.items import (
     MAX_REVISION,
@@ -39,6 +38,7 @@
     ZoneEvacuated,
     read_item,
 )
+from notchhoist.platform.json_fields import FieldError, Fields
 
 BUDGET = PropagationBudget()
 
--- a/notchhoist/platform/tests/test_documents.py
+++ b/notchhoist/platform/tests/test_documents.py
@@ -10,12 +10,12 @@
 from notchhoist.base.errors import ConfigurationRefusedError
 from notchhoist.flows.decisions.splitting import pick_target
 from notchhoist.flows.model.fleet import ColdBound, RequestKind
-from notchhoist.platform.checking import FieldError
 from notchhoist.platform.documents import (
     decode_configuration,
     decode_entry,
     decode_value,
 )
+from notchhoist.platform.json_fields import FieldError
 from notchhoist.platform.packets import service_key
 
 ROUTE = {
--- a/notchhoist/platform/tests/test_eras.py
+++ b/notchhoist/platform/tests/test_eras.py
@@ -11,9 +11,9 @@
 
 from notchhoist.base.errors import PlatformError
 from notchhoist.flows.model.revisions import make_revision
-from notchhoist.platform.checking import FieldError
 from notchhoist.platform.eras import read_era
 from notchhoist.platform.feeding import StoreFeeder
+from notchhoist.platform.json_fields import FieldError
 from notchhoist.platform.store import ReadKind
 from notchhoist.platform.tests.test_documents import CONFIGURATION, ENTRY
 from notchhoist.platform.tests.test_feeding import make_feeder
--- a/notchhoist/platform/tests/test_settings.py
+++ b/notchhoist/platform/tests/test_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from notchhoist.base.errors import SettingsRefusedError
-from notchhoist.platform.checking import FieldError, Problems
+from notchhoist.platform.json_fields import FieldError, Problems
 from notchhoist.platform.settings import (
     DISABLED_VARIABLE,
     decode_host_settings,
--- a/notchhoist/testing/opaque/network.py
+++ b/notchhoist/testing/opaque/network.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from notchhoist.daemon.ports import Port
+from notchhoist.daemon.ports import SocketRole
 from notchhoist.flows.agent.node import AgentNode
 from notchhoist.flows.balancer.node import BalancerNode
 from notchhoist.flows.codec.message_codec import decode_message
@@ -88,7 +88,7 @@
     def leave(
         self,
         host: Host,
-        port: Port,
+        port: SocketRole,
         target: str,
         raw: bytes,
         flow: bytes = b"",
@@ -124,9 +124,9 @@
             return
         target, _ = packet.to
         match packet.port:
-            case Port.PEERS:
+            case SocketRole.PEERS:
                 self._to_process(host, target, packet.datagram, wire_s)
-            case Port.CONTROL:
+            case SocketRole.CONTROL:
                 self._to_control(host, target, packet.datagram, wire_s)
             case _:
                 self._to_caller(host, target, packet.datagram, wire_s)
--- a/notchhoist/testing/opaque/world.py
+++ b/notchhoist/testing/opaque/world.py
@@ -8,7 +8,7 @@
 import attrs
 
 from notchhoist.base.draws import make_draw
-from notchhoist.daemon.ports import Port
+from notchhoist.daemon.ports import SocketRole
 from notchhoist.flows.agent.node import AgentNode, make_agent
 from notchhoist.flows.agent.opening_gate import OpeningLimits
 from notchhoist.flows.balancer.node import BalancerNode, make_balancer
@@ -262,15 +262,17 @@
         for effect in todo:
             match effect:
                 case effects.SendAgent(target, raw, flow, seq):
-                    self.network.leave(host, Port.PEERS, target, raw, flow, seq)
+                    self.network.leave(
+                        host, SocketRole.PEERS, target, raw, flow, seq
+                    )
                 case effects.SendBalancer(target, raw):
-                    self.network.leave(host, Port.PEERS, target, raw)
+                    self.network.leave(host, SocketRole.PEERS, target, raw)
                 case effects.SendPeer(target, message):
                     raw = encode_message(message)
-                    self.network.leave(host, Port.CONTROL, target, raw)
+                    self.network.leave(host, SocketRole.CONTROL, target, raw)
                 case effects.SendCaller(target, raw, flow, seq):
                     self.network.leave(
-                        host, Port.PACKETS, target, raw, flow, seq
+                        host, SocketRole.PACKETS, target, raw, flow, seq
                     )
                 case effects.SendBackend():
                     self._to_server(host, effect.datagram)
--- a/notchhoist/testing/soak/datagram_proxy.py
+++ b/notchhoist/testing/soak/datagram_proxy.py
@@ -102,5 +102,5 @@
     def close(self) -> None:
         """Ends the proxy."""
         for sock in self.sockets.values():
-            self.loop.forget(sock)
+            self.loop.stop_watching(sock)
             sock.close()
--- a/notchhoist/testing/soak/ends.py
+++ b/notchhoist/testing/soak/ends.py
@@ -222,7 +222,7 @@
             place.server.alive = False
         for sock in (place.packets, place.listener):
             if sock is not None:
-                self.loop.forget(sock)
+                self.loop.stop_watching(sock)
                 sock.close()
         place.packets = place.listener = None
 
@@ -239,7 +239,7 @@
         for place in self.places:
             self.end_server(place)
         for sock in self.sockets.values():
-            self.loop.forget(sock)
+            self.loop.stop_watching(sock)
             sock.close()
 
 
--- a/notchhoist/testing/soak/routers.py
+++ b/notchhoist/testing/soak/routers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from notchhoist.daemon.http_call import HttpCaller
+from notchhoist.daemon.http_call import HttpClient
 from notchhoist.daemon.loop import Loop
 from notchhoist.testing.soak import addresses
 from notchhoist.testing.soak.daemons import Daemon
@@ -19,7 +19,7 @@
     """A balancer as the routers see it."""
 
     daemon: Daemon
-    caller: HttpCaller
+    caller: HttpClient
     misses: int = MISSES
     asking: bool = False
 
@@ -39,7 +39,7 @@
     def add(self, daemon: Daemon) -> None:
         """Adds a balancer."""
         address = (daemon.own, addresses.READY_PORT)
-        self.entries.append(_Entry(daemon, HttpCaller(self.loop, address)))
+        self.entries.append(_Entry(daemon, HttpClient(self.loop, address)))
 
     def probe(self) -> None:
         """Asks every balancer whether it is ready, and goes on doing so."""
--- a/notchhoist/testing/soak/stream_proxy.py
+++ b/notchhoist/testing/soak/stream_proxy.py
@@ -119,7 +119,7 @@
             return
         self.pairs.remove(pair)
         for sock in (pair.near, pair.far):
-            self.loop.forget(sock)
+            self.loop.stop_watching(sock)
             sock.close()
 
     def silence_open(self) -> None:
@@ -130,9 +130,9 @@
     def reset_open(self) -> None:
         """Resets the open connections; new ones work."""
         for pair in list(self.pairs):
-            self.loop.forget(pair.near)
+            self.loop.stop_watching(pair.near)
             _reset(pair.near)
-            self.loop.forget(pair.far)
+            self.loop.stop_watching(pair.far)
             pair.far.close()
             self.pairs.remove(pair)
 
@@ -140,7 +140,7 @@
         """Ends the proxy."""
         for pair in list(self.pairs):
             self._end(pair)
-        self.loop.forget(self.listener)
+        self.loop.stop_watching(self.listener)
         self.listener.close()
 
 
