--- a/notchhoist/cli/__init__.py
+++ b/notchhoist/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators command-line tool ``notchhoist``."""
+"""Command-line tool ``notchhoist`` and log analysis commands."""
--- a/notchhoist/cli/asking.py
+++ b/notchhoist/cli/asking.py
@@ -1,4 +1,8 @@
-"""Query statements: rows of what daemons know, and why."""
+"""Executes query statements: ``show`` and ``why``.
+
+The rows come from the state dumps of the daemons. Daemons for opaque flows have
+other sections and are read by ``asking_flows``.
+"""
 
 from collections.abc import Callable, Iterator
 from operator import eq, ge, gt, le, lt, ne
@@ -49,7 +53,7 @@
 
 
 def show(reader: FleetReader, statement: statements.Show) -> list[Row]:
-    """Returns the rows that a statement asks for."""
+    """Returns the filtered, sorted and limited rows of a ``show`` statement."""
     daemons = reader.daemons(statement.host)
     made = _rows(reader, daemons, statement.subject)
     rows = [row for row in made if _holds(row, statement)]
@@ -64,7 +68,7 @@
 def _rows(
     reader: FleetReader, daemons: list[Daemon], subject: str
 ) -> Iterator[Row]:
-    """Yields a subject's rows from the daemons of both paths."""
+    """Yields the rows of a subject from CoAP and opaque-flow daemons."""
     opaque = [item for item in daemons if carries_opaque(item)]
     others = [item for item in daemons if item not in opaque]
     if others:
@@ -110,7 +114,7 @@
 def _newest_services(
     reader: FleetReader, daemons: list[Daemon]
 ) -> Iterator[Row]:
-    """Yields the services at the balancer with the highest revision."""
+    """Yields the services known to the balancer of the highest revision."""
     balancers = [item for item in daemons if not item.is_agent]
     newest = max(
         balancers, key=lambda item: item.health["revision"], default=None
@@ -229,7 +233,11 @@
 
 
 def why_flow(reader: FleetReader, statement: statements.WhyFlow) -> list[Row]:
-    """Tells who owns a flow, who is its home, and at which revision."""
+    """Returns which daemons know a flow, in which role and at which revision.
+
+    On the CoAP path these are the owner, the home agents, which keep a pointer
+    to the owner, and the balancers that hold a hint.
+    """
     rows: list[Row] = []
     caller = str(statement.caller)
     daemons = reader.daemons(statement.host)
@@ -267,7 +275,10 @@
 def why_requests(
     reader: FleetReader, statement: statements.WhyRequests
 ) -> list[Row]:
-    """Tells the last decisions with a reason, and counts of each cause."""
+    """Returns nonzero counters of failure causes, then recent decisions.
+
+    Only decisions with a reason are listed.
+    """
     asked = statements.Show("counters", host=statement.host)
     counts = [
         row
@@ -290,7 +301,7 @@
 def why_configuration(
     reader: FleetReader, statement: statements.WhyConfiguration
 ) -> list[Row]:
-    """Tells which daemons refused a document, with field and reason."""
+    """Returns the daemons that refused a document, with field and reason."""
     daemons = reader.daemons(statement.host)
     if any(carries_opaque(daemon) for daemon in daemons):
         return list(asking_flows.problems(reader, daemons))
--- a/notchhoist/cli/asking_flows.py
+++ b/notchhoist/cli/asking_flows.py
@@ -1,4 +1,4 @@
-"""Query statements on daemons that carry opaque flows."""
+"""Query statements for daemons that balance opaque flows."""
 
 from collections.abc import Callable, Iterator
 
@@ -26,12 +26,12 @@
 
 
 def carries_opaque(daemon: Daemon) -> bool:
-    """Tells whether a daemon is on the opaque-flow path."""
+    """Returns whether a daemon balances opaque flows."""
     return daemon.health.get("path") == PATH
 
 
 def _newest(daemons: list[Daemon]) -> Daemon | None:
-    """Returns the balancer that knows most of what is published."""
+    """Returns the balancer with the highest view revision, or None."""
     balancers = [item for item in daemons if not item.is_agent]
     return max(
         balancers, key=lambda item: item.health["view_revision"], default=None
@@ -39,7 +39,10 @@
 
 
 def _from(section: str, role: str = "") -> Callable[..., Iterator[Row]]:
-    """Returns what yields a section of every daemon of a role."""
+    """Returns a function that yields a dump section of every daemon of a role.
+
+    Without a role, the section is read from all daemons.
+    """
 
     def rows(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
         for daemon in daemons:
@@ -51,17 +54,17 @@
 
 
 def services(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields the routes at the balancer that knows most."""
+    """Yields the routes known to the balancer with the newest view."""
     newest = _newest(daemons)
     if newest is not None:
         yield from reader.section(newest, "services")
 
 
 def servers(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields backend servers, each with what its agent says and balancers see.
+    """Yields backend servers as seen by a balancer and by their agents.
 
-    ``failing`` and ``service_ms`` are the agent's evidence, ``pace_ms`` and
-    ``counts_as_slots`` what a balancer makes of it.
+    ``failing`` and ``service_ms`` are measured by the agent; ``pace_ms`` and
+    ``counts_as_slots`` are what the balancer derives from its reports.
     """
     newest = _newest(daemons)
     if newest is None:
@@ -74,7 +77,7 @@
 
 
 def revisions(_: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields what each balancer has in force, and how fresh it is."""
+    """Yields the revisions in force at each balancer and its view's age."""
     for daemon in daemons:
         if daemon.is_agent:
             continue
@@ -84,7 +87,11 @@
 
 
 def problems(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields what balancers refused or left out, with field and value."""
+    """Yields the problems that balancers found in published documents.
+
+    A row names a refused document, or the field and value of an entry that was
+    left out.
+    """
     for daemon in daemons:
         if daemon.is_agent or not carries_opaque(daemon):
             continue
@@ -95,7 +102,7 @@
 
 
 def leaving(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields servers that drain and daemons that stop."""
+    """Yields draining backend servers and stopping daemons."""
     for row in servers(reader, daemons):
         if row["state"] == "draining":
             host = row["server_host"]
@@ -124,9 +131,10 @@
 def why_flow(
     reader: FleetReader, daemons: list[Daemon], caller: str
 ) -> Iterator[Row]:
-    """Yields who knows a caller's flow, why it was reset, and what it met.
+    """Yields flows, requests and decisions of a caller from all daemons.
 
-    The rows of a placement carry what the balancer knows of the server now.
+    Rows of a balancer that name a server also show the balancer's present load
+    figures of that server.
     """
     for daemon in daemons:
         known = (
--- a/notchhoist/cli/changing.py
+++ b/notchhoist/cli/changing.py
@@ -1,7 +1,7 @@
-"""Change statements: from the published document to the next one.
+"""Applies change statements to the published configuration document.
 
-Nothing is written anywhere: the operator publishes the result by the
-platform's own means.
+Nothing is published here: the operator publishes the resulting document with
+the tools of the platform.
 """
 
 from collections.abc import Callable
@@ -13,20 +13,21 @@
 from notchhoist.cli import statements
 
 MAX_FORMER = 4
-"""Earlier sets of agents that a document carries."""
+"""Number of earlier witness sets that a service keeps in the document."""
 
 
 def next_document(
     current: model.Configuration, change: statements.Change
 ) -> Result[model.Configuration, model.StatementError]:
-    """Applies a change to the published document.
+    """Returns the document that follows from a change statement.
 
     Args:
         current: The published document.
-        change: The statement.
+        change: The change statement.
 
     Returns:
-        The document of the next revision, checked whole, or why not.
+        The validated document of the next revision, or the reason why the
+        change is refused.
     """
     return (
         _changed(current, change)
@@ -80,7 +81,7 @@
 ) -> Result[Services, model.StatementError]:
     names = [service.name for service in current.services]
     if change.service in names:
-        return _refused("the name of no service", change.service)
+        return _refused("a service name that is not in use", change.service)
     revision = current.revision + 1
     service = model.Service(change.service, change.address, epoch=revision)
     return Success((*current.services, service))
@@ -125,7 +126,10 @@
     servers: tuple[model.BackendServer, ...],
     revision: int,
 ) -> model.Service:
-    """Changes the set of servers and keeps the former one on record."""
+    """Replaces the servers of a service and starts a new epoch.
+
+    The agents of the previous servers are kept as a former witness set.
+    """
     former = model.WitnessSet(service.epoch, service.agents())
     return attrs.evolve(
         service,
--- a/notchhoist/cli/fleet_reader.py
+++ b/notchhoist/cli/fleet_reader.py
@@ -1,4 +1,4 @@
-"""Reads the operator ports of daemons and the platform."""
+"""HTTP client for the operator ports of the daemons and for the platform."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -16,12 +16,12 @@
 
 @attrs.frozen
 class OperatorSettings:
-    """What the command-line tool is told.
+    """Settings of the command-line tool.
 
     Attributes:
-        operator_key: Key of the daemons' operator ports.
-        daemons: ``ip:port`` of the operator ports.
-        platform: Address of the platform's service, ``http://ip:port``.
+        operator_key: Bearer token for the operator ports.
+        daemons: Operator ports of the daemons, ``ip:port``.
+        platform: Base URL of the platform, ``http://ip:port``.
     """
 
     operator_key: str
@@ -31,18 +31,18 @@
 
 @attrs.frozen(slots=False)
 class DaemonError(model.NotchhoistError):
-    """A daemon did not answer as it should.
+    """A request to the operator port of a daemon failed.
 
     Attributes:
-        daemon: Its operator port.
-        reason: Why, in a few words.
+        daemon: Operator port of the daemon, ``ip:port``.
+        reason: Name of the exception, or the error text of the response.
     """
 
     daemon: str
     reason: str
 
     def __str__(self) -> str:
-        """Returns one line for people."""
+        """Returns the operator port and the reason in one line."""
         return f"{self.daemon}: {self.reason}"
 
 
@@ -51,11 +51,11 @@
 
 @attrs.frozen
 class Daemon:
-    """A daemon that answered.
+    """A daemon that answered a health request.
 
     Attributes:
-        at: Its operator port.
-        health: What it says of itself.
+        at: Operator port of the daemon.
+        health: Body of the response of ``/health``.
     """
 
     at: model.Endpoint
@@ -63,23 +63,24 @@
 
     @property
     def host(self) -> str:
-        """Name of its host."""
+        """Name of the host that the daemon runs on."""
         return self.health["name"]
 
     @property
     def is_agent(self) -> bool:
-        """True beside a backend server."""
+        """Whether the daemon is the agent of a backend server."""
         return self.health["role"] == "agent"
 
 
 @attrs.define
 class FleetReader:
-    """Asks daemons over HTTP.
+    """Reads the state of daemons and the published document over HTTP.
 
     Attributes:
-        settings: What the tool was told.
-        client: The HTTP client.
-        failures: Daemons that did not answer.
+        settings: Settings of the tool.
+        client: HTTP client for all requests.
+        failures: Requests to daemons that failed since the last call of
+            ``FleetReader.daemons``.
     """
 
     settings: OperatorSettings
@@ -87,7 +88,11 @@
     failures: list[DaemonError] = attrs.Factory(list)
 
     def daemons(self, host: str = "") -> list[Daemon]:
-        """Returns the daemons that answer, or the one of a host."""
+        """Asks all daemons for their health and returns those that answer.
+
+        With a host, only the daemon of that host is returned. ``failures`` is
+        cleared first.
+        """
         found = []
         self.failures.clear()
         for at in self.settings.daemons:
@@ -99,7 +104,11 @@
         return [item for item in found if host in ("", item.host)]
 
     def section(self, daemon: Daemon, name: str) -> Iterator[Any]:
-        """Yields every entry of a section of a daemon's dump."""
+        """Yields the entries of a section of a daemon's state dump.
+
+        The section is read page by page. A failed request ends the iteration
+        and is added to ``failures``.
+        """
         offset = 0
         while True:
             query = {"offset": offset, "limit": PAGE}
@@ -129,7 +138,7 @@
         return Success(body)
 
     def published(self) -> Result[model.Configuration, model.NotchhoistError]:
-        """Reads the published document from the platform."""
+        """Fetches the published configuration document from the platform."""
         url = f"{self.settings.platform}/configuration"
         try:
             response = self.client.get(url, params={"after": 0, "wait": 0})
@@ -154,7 +163,7 @@
 def load_operator_settings(
     path: Path,
 ) -> Result[OperatorSettings, model.SettingsRefusedError]:
-    """Reads the tool's settings, JSON with comments."""
+    """Reads the settings file of the tool: JSON with comments."""
     try:
         text = path.read_bytes()
     except OSError as error:
--- a/notchhoist/cli/flow_story.py
+++ b/notchhoist/cli/flow_story.py
@@ -1,9 +1,9 @@
-"""Tells the story of one flow from the logs of many processes.
+"""Prints the history of one flow from the logs of many processes.
 
     python -m notchhoist.cli.flow_story 100.64.0.12:1028-198.18.0.1:8443 LOG...
 
-Lines that name the flow, and lines about the backend servers that it was placed
-at, in the order of time; with ``--own`` the former only.
+Prints the log lines of the flow and of the backend servers that it was placed
+at, sorted by time; with ``--own``, only the lines of the flow.
 """
 
 import sys
@@ -17,22 +17,24 @@
 from notchhoist.cli.log_files import lines_of, lines_with, read_line
 
 GROUP = "servers"
-"""Event of a line that tells of several servers."""
+"""Event of log lines about several servers, given as lists of ids."""
 
 LEFT_OUT = ("timestamp", "clock", "message_type", "host", "flow", "outcome")
 
 
 @attrs.frozen(order=True)
 class StoryLine:
-    """One line of a log.
+    """One log line of a flow or of a backend server.
+
+    Lines are ordered by timestamp first.
 
     Attributes:
-        timestamp: Time of day, seconds.
-        host: Host of the process that wrote it.
-        event: What was decided.
-        outcome: What came of it.
-        details: The inputs of the decision.
-        server: Id of the backend server that it names, or empty.
+        timestamp: Wall-clock time in seconds.
+        host: Host of the process that wrote the line.
+        event: Event of the line, such as ``place``.
+        outcome: Outcome of the event.
+        details: All other fields as ``name=value``.
+        server: Id of the backend server that the line names, or empty.
     """
 
     timestamp: float
@@ -63,7 +65,7 @@
 
 
 def _groups(line: dict[str, Any], servers: Set[str]) -> bool:
-    """Tells whether a line for several servers names one of some."""
+    """Returns whether a line about several servers names any of these."""
     if line.get("message_type") != GROUP:
         return False
     lists = [value for value in line.values() if isinstance(value, list)]
@@ -73,12 +75,12 @@
 def story_of(
     flow: str, lines: Iterable[str], own_only: bool = False
 ) -> list[StoryLine]:
-    """Returns the lines that tell of a flow, in the order of time.
+    """Returns the log lines of a flow and of its backend servers by time.
 
     Args:
-        flow: The flow's id as the logs write it.
-        lines: Lines of the logs of any processes, in any order.
-        own_only: Lines about its backend servers are left out.
+        flow: Id of the flow as written in the logs.
+        lines: Log lines of any processes in any order.
+        own_only: Leaves out the lines of its backend servers.
     """
     kept = list(lines_with([flow, '"server"', f'"{GROUP}"'], lines))
     own = [
@@ -100,7 +102,7 @@
 
 
 def tell(story: Iterable[StoryLine]) -> Iterator[str]:
-    """Yields a line of text for each line of a story."""
+    """Yields each line of a story as formatted text."""
     for item in story:
         head = f"{item.timestamp:.3f} {item.host:<22} {item.event:<14}"
         yield f"{head} {item.outcome} {item.details}".rstrip()
@@ -125,7 +127,10 @@
 
 
 def main() -> int:
-    """Entry point; status 1 where no line tells of the flow."""
+    """Runs the command and returns the exit status.
+
+    The status is 1 if no line names the flow, 2 if a file cannot be read.
+    """
     command = cappa.parse(Command)
     try:
         lines = lines_of(command.logs)
--- a/notchhoist/cli/log_files.py
+++ b/notchhoist/cli/log_files.py
@@ -1,7 +1,8 @@
-"""Reads log files of many processes, plain or compressed.
+"""Reads log files of many processes, plain or compressed with gzip.
 
-A day of 200 hosts is 30 MB of lines. Most of them cannot matter to a question,
-and a look for a few words is 30 times cheaper than decoding the JSON.
+The logs of 200 hosts are 30 MB a day, and few lines matter for one query. Lines
+are therefore filtered by substring before their JSON is decoded, because a
+substring search is 30 times cheaper than decoding.
 """
 
 import gzip
@@ -14,9 +15,9 @@
 
 
 def read_line(text: str) -> dict[str, Any] | None:
-    """Returns the JSON object in a line of a log, or None.
+    """Returns the JSON object of a log line, or None if there is none.
 
-    What stands before it, such as a time and a host, is passed over.
+    A prefix such as a time and a host name is skipped.
 
     Examples:
         >>> read_line('1.2 front-1 {"message_type": "place"}')
@@ -35,10 +36,10 @@
 
 
 def lines_of(paths: Iterable[Path]) -> Iterator[str]:
-    """Yields the lines of files, one after the other.
+    """Yields the lines of several files in sequence.
 
     Raises:
-        OSError: A file cannot be read; the error names it.
+        OSError: A file cannot be read; ``filename`` of the error names it.
     """
     for path in paths:
         opener = gzip.open if path.suffix == COMPRESSED else open
@@ -47,7 +48,7 @@
 
 
 def lines_with(words: Iterable[str], lines: Iterable[str]) -> Iterator[str]:
-    """Yields the lines that hold one of some words.
+    """Returns an iterator over the lines that contain any of the words.
 
     Examples:
         >>> list(lines_with(["reset"], ['{"message_type":"reset"}', "{}"]))
--- a/notchhoist/cli/losses.py
+++ b/notchhoist/cli/losses.py
@@ -1,9 +1,9 @@
-"""Where callers lose, read off the logs: by cause, and when.
+"""Counts failed and late requests and flows in logs, by cause and time.
 
     python -m notchhoist.cli.losses LOG... [--most 8] [--seconds 2]
 
-Counts the decisions that cost a caller something, the worst cause first, each
-with the moments at which it struck and with one flow to follow:
+Prints the causes of losses, the most frequent first, each with the times of
+most losses and the id of one flow, whose history is shown by:
 
     python -m notchhoist.cli.flow_story FLOW LOG...
 """
@@ -20,26 +20,27 @@
 from notchhoist.cli.log_files import lines_of, lines_with, read_line
 
 COSTLY = ("reset", "refuse", "give up finding", "leave to others")
-"""Events whose outcome is the cause of a loss."""
+"""Events that mean a loss; their outcome is its cause."""
 
 LATE = ("late", "waited too long")
-"""Outcomes of a release whose answer comes after its objective."""
+"""Outcomes of ``release`` that mean an answer after the objective."""
 
 DROPPED = "lines_dropped"
-"""Event that tells of lines which the bound on logs left out."""
+"""Event that counts log lines dropped by the rate limit of the log."""
 
 MOMENTS_SHOWN = 6
 
 
 @attrs.define
 class Cause:
-    """One cause of losses.
+    """A cause of losses and how often it occurred.
 
     Attributes:
-        name: The event and its outcome.
-        count: How many callers it struck.
-        by_moment: The same by moment, seconds after the first line.
-        flow: The first flow that it struck.
+        name: Event and outcome of the log lines.
+        count: Number of losses.
+        by_moment: Number of losses by moment; a moment is an interval, given
+            by its start in seconds after the first line.
+        flow: Id of the first affected flow.
     """
 
     name: str
@@ -48,14 +49,14 @@
     flow: str = ""
 
     def note(self, flow: str, moment: int, weight: int = 1) -> None:
-        """Counts a caller, or several lines that were left out."""
+        """Adds a loss, or several if the line stands for dropped lines."""
         self.count += weight
         self.by_moment[moment] += weight
         self.flow = self.flow or flow
 
 
 def cause_of(line: dict[str, Any]) -> str:
-    """Returns why a line means a loss, or an empty text.
+    """Returns the cause if a line means a loss, else an empty string.
 
     Examples:
         >>> cause_of({"message_type": "reset", "outcome": "no route"})
@@ -72,18 +73,21 @@
 
 
 def weight_of(line: dict[str, Any]) -> int:
-    """Returns how many decisions a line stands for."""
+    """Returns the number of log lines that a line stands for.
+
+    This is 1, except for a line that counts dropped lines by event.
+    """
     dropped = line.get("dropped")
     return sum(dropped.values()) if isinstance(dropped, dict) else 1
 
 
 def causes_of(lines: Iterable[str], step_s: float = 2.0) -> list[Cause]:
-    """Returns the causes of losses, the worst first.
+    """Returns the causes of losses, the most frequent first.
 
     Args:
-        lines: Lines of the logs of any processes, in any order; moments count
-            from the first start or loss among them.
-        step_s: Length of a moment, seconds.
+        lines: Log lines of any processes in any order. Moments are counted from
+            the earliest ``start``, ``release`` or loss among them.
+        step_s: Length of a moment in seconds.
     """
     words = [f'"{event}"' for event in (*COSTLY, "release", "start", DROPPED)]
     read = [
@@ -105,7 +109,7 @@
 
 
 def table(causes: Iterable[Cause]) -> Iterator[str]:
-    """Yields lines of text, one a cause."""
+    """Yields a line of text for each cause, with its most frequent moments."""
     for cause in causes:
         worst = sorted(cause.by_moment.most_common(MOMENTS_SHOWN))
         moments = " ".join(f"{moment}s:{count}" for moment, count in worst)
@@ -129,7 +133,7 @@
 
 
 def main() -> int:
-    """Entry point; status 2 where a file cannot be read."""
+    """Runs the command; the exit status is 2 for an unreadable file."""
     command = cappa.parse(Command)
     try:
         causes = causes_of(lines_of(command.logs), command.seconds)
--- a/notchhoist/cli/main.py
+++ b/notchhoist/cli/main.py
@@ -1,4 +1,4 @@
-"""``notchhoist``: the operators' command-line tool."""
+"""``notchhoist``: the command-line tool for operators."""
 
 import sys
 import time
@@ -30,7 +30,7 @@
 EXIT_REFUSED = 6
 POLL_S = 0.2
 CLEAR_SCREEN = "\x1b[2J\x1b[H"
-"""Terminal codes: clear the screen, go to its corner."""
+"""ANSI escape codes: clear the screen and move the cursor to its top left."""
 
 HELP = """\
 One statement of the command language; without one, reads them line by line.
@@ -104,7 +104,7 @@
 
 
 def execute(command: Command, text: str, reader: FleetReader) -> int:
-    """Carries out one statement; returns the exit status."""
+    """Executes one statement and returns the exit status."""
     result = statements.parse_statement(text)
     if not isinstance(result, Success):
         _complain(result.failure())
@@ -142,7 +142,10 @@
 
 
 def table(rows: list[Row]) -> str:
-    """Writes rows as a table for people.
+    """Formats rows as a text table with aligned columns.
+
+    The columns are the keys of all rows in order of first appearance; a
+    missing value is shown as ``-``.
 
     Examples:
         >>> print(table([{"server": "a", "flows": 3}]))
@@ -206,14 +209,17 @@
 
 
 async def _wait(reader: FleetReader, statement: statements.WaitUntil) -> int:
-    """Waits until a revision is in force everywhere, for a bounded time."""
+    """Polls all daemons until a revision is in force or the time is up.
+
+    A daemon that does not answer counts as lagging.
+    """
     until = anyio.current_time() + statement.seconds
     while True:
         daemons = reader.daemons()
         behind = [
             f"{item.host} at {item.health['revision']}"
             for item in daemons
-            # Agents on the opaque-flow path read no configuration.
+            # Agents for opaque flows read no configuration: no revision.
             if item.health["revision"] is not None
             and item.health["revision"] < statement.revision
         ]
@@ -228,14 +234,15 @@
 
 
 def run(command: Command, read_line: Callable[[str], str]) -> int:
-    """Carries out the command; returns the exit status.
+    """Runs the tool and returns the exit status.
 
     Args:
         command: The command line.
-        read_line: Reads a statement after a prompt.
+        read_line: Shows a prompt and returns the line that the user enters;
+            raises EOFError at the end of input.
 
     Returns:
-        The exit status; of several statements, the last one's.
+        The exit status; after several statements, that of the last one.
     """
     loaded = load_operator_settings(command.settings)
     if not isinstance(loaded, Success):
@@ -252,7 +259,10 @@
 
 
 def _watch(command: Command, reader: FleetReader) -> int:
-    """Asks again and again; each answer takes the place of the last."""
+    """Repeats a statement and redraws the screen with each result.
+
+    Stops at the first exit status other than ``EXIT_OK``.
+    """
     while True:
         print(CLEAR_SCREEN, end="")
         status = execute(command, command.statement, reader)
--- a/notchhoist/cli/statements.py
+++ b/notchhoist/cli/statements.py
@@ -1,4 +1,4 @@
-"""The command language: from a line of text to a typed statement."""
+"""Parser of the command language: turns a line of text into a statement."""
 
 from functools import cache
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Condition:
-    """A filter: field, comparison and value."""
+    """One condition of a ``where`` clause: field, operator and value."""
 
     field: str
     operator: str
@@ -27,14 +27,14 @@
 
 @attrs.frozen
 class Show:
-    """Lists what daemons know.
+    """Lists entries of the state of daemons as rows.
 
     Attributes:
         subject: What to list.
-        conditions: All of them hold for each row.
-        order: Field to order by; empty for none.
-        descending: Largest first.
-        limit: Most rows; 0 for all.
+        conditions: A row is listed if it meets all of them.
+        order: Field to sort by; empty for none.
+        descending: Sorts in descending order.
+        limit: Maximum number of rows; 0 for no limit.
         host: Only the daemon of this host; empty for all.
     """
 
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class WhyFlow:
-    """Asks why a flow is where it is."""
+    """Asks which daemons know a flow and what they decided about it."""
 
     caller: model.Endpoint
     host: str = ""
@@ -56,21 +56,21 @@
 
 @attrs.frozen
 class WhyRequests:
-    """Asks why requests were refused, queued or retried."""
+    """Asks for the reasons of refused, queued and retried requests."""
 
     host: str = ""
 
 
 @attrs.frozen
 class WhyConfiguration:
-    """Asks why a configuration was refused."""
+    """Asks which daemons refused a configuration, and for what reason."""
 
     host: str = ""
 
 
 @attrs.frozen
 class CreateService:
-    """Creates a service on an address."""
+    """Creates a service without backend servers at an address."""
 
     service: str
     address: model.Endpoint
@@ -78,7 +78,7 @@
 
 @attrs.frozen
 class DropService:
-    """Drops a service."""
+    """Removes a service."""
 
     service: str
 
@@ -105,7 +105,10 @@
 
 @attrs.frozen
 class DrainServer:
-    """Drains a backend server, or ends that."""
+    """Starts or ends the draining of a backend server.
+
+    ``state`` is DRAINING for ``drain`` and ACTIVE for ``undrain``.
+    """
 
     server: str
     service: str
@@ -114,7 +117,7 @@
 
 @attrs.frozen
 class WeighKind:
-    """Sets the weight of a kind of request."""
+    """Sets the weight of a request kind of a service."""
 
     kind: str
     service: str
@@ -123,7 +126,7 @@
 
 @attrs.frozen
 class WaitUntil:
-    """Waits until a revision is in force everywhere."""
+    """Waits until a revision is in force at every daemon."""
 
     revision: int
     seconds: int
@@ -141,7 +144,7 @@
 
 
 class _Builder(Transformer):  # type: ignore[type-arg]
-    """Makes statements of parse trees."""
+    """Turns a parse tree into a statement; a method for each grammar rule."""
 
     def number(self, items: list[Token]) -> float:
         return float(items[0])
@@ -233,7 +236,7 @@
 
 
 def parse_statement(text: str) -> Result[Statement, model.StatementError]:
-    """Reads one statement.
+    """Parses one statement.
 
     Examples:
         >>> parse_statement("show flows limit 3").unwrap().limit
@@ -245,7 +248,8 @@
         text: The statement.
 
     Returns:
-        The statement, or where it goes wrong and what was expected there.
+        The statement, or an error with the column of the first unexpected
+        token and the tokens expected there.
     """
     try:
         tree = _parser().parse(text)
@@ -261,10 +265,10 @@
     if isinstance(error, UnexpectedCharacters):
         names = error.allowed or []
     readable = sorted(_readable(str(name)) for name in names)
-    expected = " or ".join(readable[:MAX_EXPECTED]) or "another word"
+    expected = " or ".join(readable[:MAX_EXPECTED]) or "a different word"
     got = text[column - 1 :].split(" ")[0]
     return model.StatementError(column, expected, repr(got) if got else "end")
 
 
 def _readable(name: str) -> str:
-    return {"$END": "the end", "SEMICOLON": "';'"}.get(name, name)
+    return {"$END": "end of statement", "SEMICOLON": "';'"}.get(name, name)
--- a/notchhoist/cli/tests/test_flow_story.py
+++ b/notchhoist/cli/tests/test_flow_story.py
@@ -1,4 +1,4 @@
-"""The story of one flow from the logs of many processes."""
+"""Tests of the history of a flow from the logs of many processes."""
 
 import json
 
@@ -12,7 +12,7 @@
     return json.dumps({**made, **fields})
 
 
-def test_lines_of_the_flow_and_of_its_server_in_the_order_of_time():
+def test_lines_of_flow_and_its_server_are_sorted_by_time():
     lines = [
         line(3.0, "reset", flow=FLOW, outcome="agent lost", server="i-1"),
         line(1.0, "place", flow=FLOW, outcome="i-1", load_age_s=0.2),
@@ -28,7 +28,7 @@
     assert "load_age_s=0.2" in first
 
 
-def test_a_line_for_several_servers_is_of_each_of_them():
+def test_line_about_several_servers_counts_for_each():
     lines = [
         line(1.0, "place", flow=FLOW, outcome="i-1"),
         line(2.0, "servers", outcome="4 changed", ready=["i-1", "i-3"]),
@@ -38,5 +38,5 @@
     assert [item.event for item in story_of(FLOW, lines, True)] == ["place"]
 
 
-def test_a_flow_that_no_line_tells_of():
+def test_flow_without_lines_has_empty_story():
     assert not story_of(FLOW, [line(1.0, "place", flow="another")])
--- a/notchhoist/cli/tests/test_losses.py
+++ b/notchhoist/cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where callers lose, read off the logs."""
+"""Tests of the counting of losses in logs."""
 
 import gzip
 
@@ -7,7 +7,7 @@
 from notchhoist.cli.tests.test_flow_story import FLOW, line
 
 
-def test_causes_are_counted_by_moment_the_worst_first():
+def test_causes_are_counted_by_moment_and_sorted_by_count():
     lines = [
         line(100.0, "start"),
         line(110.1, "refuse", flow=FLOW, outcome="no slot in time"),
@@ -25,12 +25,12 @@
     assert "10s:1 12s:1" in first
 
 
-def test_no_lines_no_causes():
+def test_no_lines_give_no_causes():
     assert causes_of([]) == []
 
 
-def test_what_the_bound_on_logs_left_out_is_a_cause_of_its_own():
-    """Where lines are missing a table of causes is too good."""
+def test_dropped_log_lines_are_a_separate_cause():
+    """Without this cause, a table from incomplete logs shows too few losses."""
     dropped = {"reset": 30, "place": 4}
     lines = [
         line(100.0, "start"),
@@ -41,7 +41,7 @@
     assert cause.by_moment == {2: 34}
 
 
-def test_compressed_files_are_read(tmp_path):
+def test_gzip_files_are_read(tmp_path):
     path = tmp_path / "a.log.gz"
     with gzip.open(path, "wt") as file:
         print(line(1.0, "reset", flow=FLOW, outcome="no route"), file=file)
--- a/notchhoist/cli/tests/test_statements.py
+++ b/notchhoist/cli/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""The command language and the change statements."""
+"""Tests of the command language and of change statements."""
 
 import pytest
 
@@ -32,19 +32,19 @@
         ("wait until revision", 20),
     ],
 )
-def test_an_error_names_the_column(text, column):
+def test_syntax_error_has_column(text, column):
     error = statements.parse_statement(text).failure()
     assert error.column == column
     assert error.expected
 
 
-def test_every_subject_of_opaque_daemons_can_be_asked_for():
+def test_every_subject_of_opaque_flow_daemons_is_parsed():
     for subject in asking_flows.SUBJECTS:
         statement = statements.parse_statement(f"show {subject}").unwrap()
         assert statement.subject == subject
 
 
-def test_a_query_with_everything():
+def test_show_statement_with_all_clauses():
     text = (
         'show flows where server = a-1 and streams >= 2 and caller ~ "10." '
         "order by streams desc limit 4 at entry-1;"
@@ -64,7 +64,7 @@
     )
 
 
-def test_attach_keeps_the_former_set_on_record():
+def test_attach_keeps_the_former_witness_set():
     document = change(ATTACH).unwrap()
     (service,) = document.services
     assert document.revision == 8
@@ -107,11 +107,11 @@
         ATTACH.replace("slots 3", "slots 0"),
     ],
 )
-def test_what_cannot_be_is_refused_with_a_type(text):
+def test_invalid_change_is_refused_with_statement_error(text):
     assert isinstance(change(text).failure(), model.StatementError)
 
 
-def test_a_written_document_reads_back():
+def test_written_document_is_parsed_to_the_same():
     document = change(ATTACH).unwrap()
     text = documents.write_configuration(document)
     assert documents.parse_configuration(text).unwrap() == document
