--- a/notchhoist/cli/changing.py
+++ b/notchhoist/cli/document_changes.py
@@ -12,7 +12,7 @@
 from notchhoist import documents, model
 from notchhoist.cli import statements
 
-MAX_FORMER = 4
+MAX_FORMER_SETS = 4
 """Number of earlier witness sets that a service keeps in the document."""
 
 
@@ -30,20 +30,20 @@
         change is refused.
     """
     return (
-        _changed(current, change)
+        _apply_change(current, change)
         .map(
             lambda services: attrs.evolve(
                 current, revision=current.revision + 1, services=services
             )
         )
-        .bind(_checked)
+        .bind(_validate)
     )
 
 
 Services = tuple[model.Service, ...]
 
 
-def _changed(
+def _apply_change(
     current: model.Configuration, change: statements.Change
 ) -> Result[Services, model.StatementError]:
     match change:
@@ -61,7 +61,7 @@
             return _weigh(current, change)
 
 
-def _checked(
+def _validate(
     document: model.Configuration,
 ) -> Result[model.Configuration, model.StatementError]:
     text = documents.write_configuration(document)
@@ -72,7 +72,7 @@
     )
 
 
-def _refused(expected: str, got: str) -> Failure[model.StatementError]:
+def _refuse(expected: str, got: str) -> Failure[model.StatementError]:
     return Failure(model.StatementError(0, expected, got))
 
 
@@ -81,7 +81,7 @@
 ) -> Result[Services, model.StatementError]:
     names = [service.name for service in current.services]
     if change.service in names:
-        return _refused("a service name that is not in use", change.service)
+        return _refuse("a service name that is not in use", change.service)
     revision = current.revision + 1
     service = model.Service(change.service, change.address, epoch=revision)
     return Success((*current.services, service))
@@ -90,20 +90,20 @@
 def _drop(
     current: model.Configuration, change: statements.DropService
 ) -> Result[Services, model.StatementError]:
-    left = tuple(s for s in current.services if s.name != change.service)
-    if len(left) == len(current.services):
+    remaining = tuple(s for s in current.services if s.name != change.service)
+    if len(remaining) == len(current.services):
         return _unknown_service(current, change.service)
-    return Success(left)
+    return Success(remaining)
 
 
 def _unknown_service(
     current: model.Configuration, name: str
 ) -> Failure[model.StatementError]:
     names = " or ".join(service.name for service in current.services)
-    return _refused(names or "a service", name)
+    return _refuse(names or "a service", name)
 
 
-def _edit(
+def _edit_service(
     current: model.Configuration,
     name: str,
     edit: Callable[
@@ -121,7 +121,7 @@
     )
 
 
-def _with_servers(
+def _replace_servers(
     service: model.Service,
     servers: tuple[model.BackendServer, ...],
     revision: int,
@@ -135,7 +135,7 @@
         service,
         servers=servers,
         epoch=revision,
-        former=(former, *service.former)[:MAX_FORMER],
+        former=(former, *service.former)[:MAX_FORMER_SETS],
     )
 
 
@@ -154,9 +154,9 @@
         service: model.Service,
     ) -> Result[model.Service, model.StatementError]:
         servers = (*service.servers, server)
-        return Success(_with_servers(service, servers, current.revision + 1))
+        return Success(_replace_servers(service, servers, current.revision + 1))
 
-    return _edit(current, change.service, edit)
+    return _edit_service(current, change.service, edit)
 
 
 def _server_names(service: model.Service) -> str:
@@ -169,12 +169,14 @@
     def edit(
         service: model.Service,
     ) -> Result[model.Service, model.StatementError]:
-        left = tuple(s for s in service.servers if s.name != change.server)
-        if len(left) == len(service.servers):
-            return _refused(_server_names(service), change.server)
-        return Success(_with_servers(service, left, current.revision + 1))
+        remaining = tuple(s for s in service.servers if s.name != change.server)
+        if len(remaining) == len(service.servers):
+            return _refuse(_server_names(service), change.server)
+        return Success(
+            _replace_servers(service, remaining, current.revision + 1)
+        )
 
-    return _edit(current, change.service, edit)
+    return _edit_service(current, change.service, edit)
 
 
 def _drain(
@@ -184,7 +186,7 @@
         service: model.Service,
     ) -> Result[model.Service, model.StatementError]:
         if change.server not in [server.name for server in service.servers]:
-            return _refused(_server_names(service), change.server)
+            return _refuse(_server_names(service), change.server)
         servers = tuple(
             attrs.evolve(server, state=change.state)
             if server.name == change.server
@@ -193,7 +195,7 @@
         )
         return Success(attrs.evolve(service, servers=servers))
 
-    return _edit(current, change.service, edit)
+    return _edit_service(current, change.service, edit)
 
 
 def _weigh(
@@ -204,7 +206,7 @@
     ) -> Result[model.Service, model.StatementError]:
         names = [kind.name for kind in service.kinds]
         if change.kind not in names:
-            return _refused(" or ".join(names), change.kind)
+            return _refuse(" or ".join(names), change.kind)
         kinds = tuple(
             attrs.evolve(kind, weight=change.weight)
             if kind.name == change.kind
@@ -213,4 +215,4 @@
         )
         return Success(attrs.evolve(service, kinds=kinds))
 
-    return _edit(current, change.service, edit)
+    return _edit_service(current, change.service, edit)
--- a/notchhoist/cli/fleet_reader.py
+++ b/notchhoist/cli/fleet_reader.py
@@ -10,8 +10,8 @@
 
 from notchhoist import documents, model
 
-PAGE = 500
-TIMEOUT_S = 3.0
+PAGE_SIZE = 500
+REQUEST_TIMEOUT_S = 3.0
 
 
 @attrs.frozen
@@ -93,15 +93,15 @@
         With a host, only the daemon of that host is returned. ``failures`` is
         cleared first.
         """
-        found = []
+        answering = []
         self.failures.clear()
         for at in self.settings.daemons:
             result = self._get(at, "/health", {})
             if isinstance(result, Success):
-                found.append(Daemon(at, result.unwrap()))
+                answering.append(Daemon(at, result.unwrap()))
             else:
                 self.failures.append(result.failure())
-        return [item for item in found if host in ("", item.host)]
+        return [item for item in answering if host in ("", item.host)]
 
     def section(self, daemon: Daemon, name: str) -> Iterator[Any]:
         """Yields the entries of a section of a daemon's state dump.
@@ -111,14 +111,14 @@
         """
         offset = 0
         while True:
-            query = {"offset": offset, "limit": PAGE}
+            query = {"offset": offset, "limit": PAGE_SIZE}
             result = self._get(daemon.at, f"/dump/{name}", query)
             if not isinstance(result, Success):
                 self.failures.append(result.failure())
                 return
             page = result.unwrap()
             yield from page["entries"]
-            offset += PAGE
+            offset += PAGE_SIZE
             if offset >= page["total"]:
                 return
 
@@ -174,5 +174,5 @@
     return (
         documents.read_json(text)
         .bind(lambda value: documents.structure(value, OperatorSettings))
-        .alt(lambda found: model.SettingsRefusedError(str(path), found))
+        .alt(lambda problems: model.SettingsRefusedError(str(path), problems))
     )
--- a/notchhoist/cli/flow_story.py
+++ b/notchhoist/cli/flow_story.py
@@ -14,12 +14,19 @@
 import attrs
 import cappa
 
-from notchhoist.cli.log_files import lines_of, lines_with, read_line
+from notchhoist.cli.log_files import filter_lines, parse_line, read_lines
 
-GROUP = "servers"
+SERVERS_EVENT = "servers"
 """Event of log lines about several servers, given as lists of ids."""
 
-LEFT_OUT = ("timestamp", "clock", "message_type", "host", "flow", "outcome")
+OMITTED_FIELDS = (
+    "timestamp",
+    "clock",
+    "message_type",
+    "host",
+    "flow",
+    "outcome",
+)
 
 
 @attrs.frozen(order=True)
@@ -45,11 +52,11 @@
     server: str = ""
 
 
-def _to_story(line: dict[str, Any]) -> StoryLine:
+def _to_story_line(line: dict[str, Any]) -> StoryLine:
     details = " ".join(
         f"{name}={value}"
         for name, value in line.items()
-        if name not in LEFT_OUT
+        if name not in OMITTED_FIELDS
     )
     outcome = str(line.get("outcome", ""))
     event = str(line.get("message_type", ""))
@@ -64,9 +71,9 @@
     )
 
 
-def _groups(line: dict[str, Any], servers: Set[str]) -> bool:
+def _names_any_server(line: dict[str, Any], servers: Set[str]) -> bool:
     """Returns whether a line about several servers names any of these."""
-    if line.get("message_type") != GROUP:
+    if line.get("message_type") != SERVERS_EVENT:
         return False
     lists = [value for value in line.values() if isinstance(value, list)]
     return any(not servers.isdisjoint(names) for names in lists)
@@ -82,30 +89,32 @@
         lines: Log lines of any processes in any order.
         own_only: Leaves out the lines of its backend servers.
     """
-    kept = list(lines_with([flow, '"server"', f'"{GROUP}"'], lines))
-    own = [
-        _to_story(line)
-        for line in map(read_line, lines_with([flow], kept))
+    candidates = list(
+        filter_lines([flow, '"server"', f'"{SERVERS_EVENT}"'], lines)
+    )
+    flow_lines = [
+        _to_story_line(line)
+        for line in map(parse_line, filter_lines([flow], candidates))
         if line is not None and line.get("flow") == flow
     ]
     if own_only:
-        return sorted(own)
-    servers = {item.server for item in own if item.server}
-    about = [
-        _to_story(line)
-        for line in map(read_line, lines_with(servers, kept))
+        return sorted(flow_lines)
+    servers = {item.server for item in flow_lines if item.server}
+    server_lines = [
+        _to_story_line(line)
+        for line in map(parse_line, filter_lines(servers, candidates))
         if line is not None
         and "flow" not in line
-        and (line.get("server") in servers or _groups(line, servers))
+        and (line.get("server") in servers or _names_any_server(line, servers))
     ]
-    return sorted([*own, *about])
+    return sorted([*flow_lines, *server_lines])
 
 
-def tell(story: Iterable[StoryLine]) -> Iterator[str]:
+def format_story(story: Iterable[StoryLine]) -> Iterator[str]:
     """Yields each line of a story as formatted text."""
     for item in story:
-        head = f"{item.timestamp:.3f} {item.host:<22} {item.event:<14}"
-        yield f"{head} {item.outcome} {item.details}".rstrip()
+        prefix = f"{item.timestamp:.3f} {item.host:<22} {item.event:<14}"
+        yield f"{prefix} {item.outcome} {item.details}".rstrip()
 
 
 @cappa.command(
@@ -133,12 +142,12 @@
     """
     command = cappa.parse(Command)
     try:
-        lines = lines_of(command.logs)
+        lines = read_lines(command.logs)
         story = story_of(command.flow, lines, command.own)
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
         return 2
-    for text in tell(story):
+    for text in format_story(story):
         print(text)
     return 0 if story else 1
 
--- a/notchhoist/cli/log_files.py
+++ b/notchhoist/cli/log_files.py
@@ -14,15 +14,15 @@
 COMPRESSED = ".gz"
 
 
-def read_line(text: str) -> dict[str, Any] | None:
+def parse_line(text: str) -> dict[str, Any] | None:
     """Returns the JSON object of a log line, or None if there is none.
 
     A prefix such as a time and a host name is skipped.
 
     Examples:
-        >>> read_line('1.2 front-1 {"message_type": "place"}')
+        >>> parse_line('1.2 front-1 {"message_type": "place"}')
         {'message_type': 'place'}
-        >>> read_line("Traceback:") is None
+        >>> parse_line("Traceback:") is None
         True
     """
     start = text.find("{")
@@ -35,7 +35,7 @@
     return value if isinstance(value, dict) else None
 
 
-def lines_of(paths: Iterable[Path]) -> Iterator[str]:
+def read_lines(paths: Iterable[Path]) -> Iterator[str]:
     """Yields the lines of several files in sequence.
 
     Raises:
@@ -47,11 +47,11 @@
             yield from file
 
 
-def lines_with(words: Iterable[str], lines: Iterable[str]) -> Iterator[str]:
+def filter_lines(words: Iterable[str], lines: Iterable[str]) -> Iterator[str]:
     """Returns an iterator over the lines that contain any of the words.
 
     Examples:
-        >>> list(lines_with(["reset"], ['{"message_type":"reset"}', "{}"]))
+        >>> list(filter_lines(["reset"], ['{"message_type":"reset"}', "{}"]))
         ['{"message_type":"reset"}']
     """
     wanted = tuple(words)
--- a/notchhoist/cli/losses.py
+++ b/notchhoist/cli/losses.py
@@ -17,15 +17,15 @@
 import attrs
 import cappa
 
-from notchhoist.cli.log_files import lines_of, lines_with, read_line
+from notchhoist.cli.log_files import filter_lines, parse_line, read_lines
 
-COSTLY = ("reset", "refuse", "give up finding", "leave to others")
+LOSS_EVENTS = ("reset", "refuse", "give up finding", "leave to others")
 """Events that mean a loss; their outcome is its cause."""
 
-LATE = ("late", "waited too long")
+LATE_OUTCOMES = ("late", "waited too long")
 """Outcomes of ``release`` that mean an answer after the objective."""
 
-DROPPED = "lines_dropped"
+DROPPED_EVENT = "lines_dropped"
 """Event that counts log lines dropped by the rate limit of the log."""
 
 MOMENTS_SHOWN = 6
@@ -48,7 +48,7 @@
     by_moment: collections.Counter[int] = attrs.Factory(collections.Counter)
     flow: str = ""
 
-    def note(self, flow: str, moment: int, weight: int = 1) -> None:
+    def add(self, flow: str, moment: int, weight: int = 1) -> None:
         """Adds a loss, or several if the line stands for dropped lines."""
         self.count += weight
         self.by_moment[moment] += weight
@@ -66,10 +66,10 @@
     """
     event, outcome = line.get("message_type"), line.get("outcome")
     if event == "release":
-        return f"late: {outcome}" if outcome in LATE else ""
-    if event == DROPPED:
+        return f"late: {outcome}" if outcome in LATE_OUTCOMES else ""
+    if event == DROPPED_EVENT:
         return "lines not in the logs"
-    return f"{event}: {outcome}" if event in COSTLY else ""
+    return f"{event}: {outcome}" if event in LOSS_EVENTS else ""
 
 
 def weight_of(line: dict[str, Any]) -> int:
@@ -89,30 +89,33 @@
             the earliest ``start``, ``release`` or loss among them.
         step_s: Length of a moment in seconds.
     """
-    words = [f'"{event}"' for event in (*COSTLY, "release", "start", DROPPED)]
-    read = [
+    words = [
+        f'"{event}"'
+        for event in (*LOSS_EVENTS, "release", "start", DROPPED_EVENT)
+    ]
+    parsed = [
         line
-        for line in map(read_line, lines_with(words, lines))
+        for line in map(parse_line, filter_lines(words, lines))
         if line is not None
     ]
-    stamps = [float(line.get("timestamp", 0.0)) for line in read]
-    start = min(stamps, default=0.0)
+    timestamps = [float(line.get("timestamp", 0.0)) for line in parsed]
+    start = min(timestamps, default=0.0)
     causes: dict[str, Cause] = {}
-    for line, stamp in zip(read, stamps, strict=True):
+    for line, timestamp in zip(parsed, timestamps, strict=True):
         name = cause_of(line)
         if not name:
             continue
-        moment = int((stamp - start) / step_s) * int(step_s)
+        moment = int((timestamp - start) / step_s) * int(step_s)
         cause = causes.setdefault(name, Cause(name))
-        cause.note(str(line.get("flow", "")), moment, weight_of(line))
+        cause.add(str(line.get("flow", "")), moment, weight_of(line))
     return sorted(causes.values(), key=lambda cause: -cause.count)
 
 
-def table(causes: Iterable[Cause]) -> Iterator[str]:
+def format_causes(causes: Iterable[Cause]) -> Iterator[str]:
     """Yields a line of text for each cause, with its most frequent moments."""
     for cause in causes:
-        worst = sorted(cause.by_moment.most_common(MOMENTS_SHOWN))
-        moments = " ".join(f"{moment}s:{count}" for moment, count in worst)
+        largest = sorted(cause.by_moment.most_common(MOMENTS_SHOWN))
+        moments = " ".join(f"{moment}s:{count}" for moment, count in largest)
         yield f"{cause.count:6d}  {cause.name:<32} {moments}  {cause.flow}"
 
 
@@ -136,11 +139,11 @@
     """Runs the command; the exit status is 2 for an unreadable file."""
     command = cappa.parse(Command)
     try:
-        causes = causes_of(lines_of(command.logs), command.seconds)
+        causes = causes_of(read_lines(command.logs), command.seconds)
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
         return 2
-    for text in table(causes[: command.most]):
+    for text in format_causes(causes[: command.most]):
         print(text)
     return 0
 
--- a/notchhoist/cli/main.py
+++ b/notchhoist/cli/main.py
@@ -13,9 +13,9 @@
 from returns.result import Result, Success
 
 from notchhoist import documents, model
-from notchhoist.cli import asking, changing, statements
+from notchhoist.cli import document_changes, queries, statements
 from notchhoist.cli.fleet_reader import (
-    TIMEOUT_S,
+    REQUEST_TIMEOUT_S,
     FleetReader,
     OperatorSettings,
     Row,
@@ -28,7 +28,7 @@
 EXIT_CONFLICT = 4
 EXIT_NOT_IN_FORCE = 5
 EXIT_REFUSED = 6
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 CLEAR_SCREEN = "\x1b[2J\x1b[H"
 """ANSI escape codes: clear the screen and move the cursor to its top left."""
 
@@ -107,57 +107,60 @@
     """Executes one statement and returns the exit status."""
     result = statements.parse_statement(text)
     if not isinstance(result, Success):
-        _complain(result.failure())
+        _print_error(result.failure())
         return EXIT_BAD_STATEMENT
     statement = result.unwrap()
     match statement:
         case statements.WaitUntil():
-            return anyio.run(_wait, reader, statement)
+            return anyio.run(_wait_in_force, reader, statement)
         case statements.Show():
-            rows = asking.show(reader, statement)
+            rows = queries.show(reader, statement)
         case statements.WhyFlow():
-            rows = asking.why_flow(reader, statement)
+            rows = queries.why_flow(reader, statement)
         case statements.WhyRequests():
-            rows = asking.why_requests(reader, statement)
+            rows = queries.why_requests(reader, statement)
         case statements.WhyConfiguration():
-            rows = asking.why_configuration(reader, statement)
+            rows = queries.why_configuration(reader, statement)
         case _:
             return _change(command, statement, reader)
     return _print_rows(command, rows, reader)
 
 
-def _complain(error: model.NotchhoistError) -> None:
+def _print_error(error: model.NotchhoistError) -> None:
     print(error, file=sys.stderr)
 
 
 def _print_rows(command: Command, rows: list[Row], reader: FleetReader) -> int:
     for failure in reader.failures:
-        _complain(failure)
+        _print_error(failure)
     if command.json:
         print(orjson.dumps(rows).decode())
     else:
-        print(table(rows))
+        print(format_table(rows))
     no_answer = len(reader.failures) >= len(reader.settings.daemons)
     return EXIT_NO_ANSWER if no_answer else EXIT_OK
 
 
-def table(rows: list[Row]) -> str:
+def format_table(rows: list[Row]) -> str:
     """Formats rows as a text table with aligned columns.
 
     The columns are the keys of all rows in order of first appearance; a
     missing value is shown as ``-``.
 
     Examples:
-        >>> print(table([{"server": "a", "flows": 3}]))
+        >>> print(format_table([{"server": "a", "flows": 3}]))
         server  flows
         a       3
     """
     if not rows:
         return "(nothing)"
     names = list(dict.fromkeys(name for row in rows for name in row))
-    cells = [names, *([_cell(row.get(name)) for name in names] for row in rows)]
+    cells = [
+        names,
+        *([_format_cell(row.get(name)) for name in names] for row in rows),
+    ]
     widths = [
-        max(len(row[place]) for row in cells) for place in range(len(names))
+        max(len(row[column]) for row in cells) for column in range(len(names))
     ]
     lines = [
         "  ".join(
@@ -168,32 +171,32 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     return "-" if value is None else str(value)
 
 
 def _change(
     command: Command, change: statements.Change, reader: FleetReader
 ) -> int:
-    published = _published(command, reader)
+    published = _load_published(command, reader)
     if not isinstance(published, Success):
-        _complain(published.failure())
+        _print_error(published.failure())
         return EXIT_NO_ANSWER
     current = published.unwrap()
     if command.expect is not None and current.revision != command.expect:
         expected = f"revision {command.expect}, as --expect says"
         got = f"revision {current.revision}: another operator published first"
-        _complain(model.StatementError(0, expected, got))
+        _print_error(model.StatementError(0, expected, got))
         return EXIT_CONFLICT
-    result = changing.next_document(current, change)
+    result = document_changes.next_document(current, change)
     if not isinstance(result, Success):
-        _complain(result.failure())
+        _print_error(result.failure())
         return EXIT_REFUSED
-    _write(command, documents.write_configuration(result.unwrap()))
+    _write_document(command, documents.write_configuration(result.unwrap()))
     return EXIT_OK
 
 
-def _published(
+def _load_published(
     command: Command, reader: FleetReader
 ) -> Result[model.Configuration, model.NotchhoistError]:
     if command.document is None:
@@ -201,36 +204,38 @@
     return documents.parse_configuration(command.document.read_bytes())
 
 
-def _write(command: Command, text: bytes) -> None:
+def _write_document(command: Command, text: bytes) -> None:
     if command.output is not None:
         command.output.write_bytes(text)
     else:
         print(text.decode())
 
 
-async def _wait(reader: FleetReader, statement: statements.WaitUntil) -> int:
+async def _wait_in_force(
+    reader: FleetReader, statement: statements.WaitUntil
+) -> int:
     """Polls all daemons until a revision is in force or the time is up.
 
     A daemon that does not answer counts as lagging.
     """
-    until = anyio.current_time() + statement.seconds
+    deadline = anyio.current_time() + statement.seconds
     while True:
         daemons = reader.daemons()
-        behind = [
+        lagging = [
             f"{item.host} at {item.health['revision']}"
             for item in daemons
             # Agents for opaque flows read no configuration: no revision.
             if item.health["revision"] is not None
             and item.health["revision"] < statement.revision
         ]
-        behind += [str(failure) for failure in reader.failures]
-        if not behind:
+        lagging += [str(failure) for failure in reader.failures]
+        if not lagging:
             print(f"revision {statement.revision} in force everywhere")
             return EXIT_OK
-        if anyio.current_time() >= until:
-            print("\n".join(["lagging:", *behind]))
+        if anyio.current_time() >= deadline:
+            print("\n".join(["lagging:", *lagging]))
             return EXIT_NOT_IN_FORCE
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
 def run(command: Command, read_line: Callable[[str], str]) -> int:
@@ -246,10 +251,10 @@
     """
     loaded = load_operator_settings(command.settings)
     if not isinstance(loaded, Success):
-        _complain(loaded.failure())
+        _print_error(loaded.failure())
         return EXIT_BAD_STATEMENT
     settings: OperatorSettings = loaded.unwrap()
-    with httpx.Client(timeout=TIMEOUT_S, trust_env=False) as client:
+    with httpx.Client(timeout=REQUEST_TIMEOUT_S, trust_env=False) as client:
         reader = FleetReader(settings, client)
         if command.statement and command.watch > 0:
             return _watch(command, reader)
--- a/notchhoist/cli/asking_flows.py
+++ b/notchhoist/cli/opaque_queries.py
@@ -1,4 +1,4 @@
-"""Query statements for daemons that balance opaque flows."""
+"""Query statements for daemons that serve opaque flows."""
 
 from collections.abc import Callable, Iterator
 
@@ -9,7 +9,7 @@
     counter_rows,
 )
 
-PATH = "opaque"
+OPAQUE_PATH = "opaque"
 
 REVISION_COLUMNS = (
     "role",
@@ -25,12 +25,12 @@
 )
 
 
-def carries_opaque(daemon: Daemon) -> bool:
-    """Returns whether a daemon balances opaque flows."""
-    return daemon.health.get("path") == PATH
+def serves_opaque_flows(daemon: Daemon) -> bool:
+    """Returns whether a daemon serves opaque flows."""
+    return daemon.health.get("path") == OPAQUE_PATH
 
 
-def _newest(daemons: list[Daemon]) -> Daemon | None:
+def _newest_balancer(daemons: list[Daemon]) -> Daemon | None:
     """Returns the balancer with the highest view revision, or None."""
     balancers = [item for item in daemons if not item.is_agent]
     return max(
@@ -38,7 +38,7 @@
     )
 
 
-def _from(section: str, role: str = "") -> Callable[..., Iterator[Row]]:
+def _section_rows(section: str, role: str = "") -> Callable[..., Iterator[Row]]:
     """Returns a function that yields a dump section of every daemon of a role.
 
     Without a role, the section is read from all daemons.
@@ -55,7 +55,7 @@
 
 def services(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
     """Yields the routes known to the balancer with the newest view."""
-    newest = _newest(daemons)
+    newest = _newest_balancer(daemons)
     if newest is not None:
         yield from reader.section(newest, "services")
 
@@ -66,14 +66,14 @@
     ``failing`` and ``service_ms`` are measured by the agent; ``pace_ms`` and
     ``counts_as_slots`` are what the balancer derives from its reports.
     """
-    newest = _newest(daemons)
+    newest = _newest_balancer(daemons)
     if newest is None:
         return
     agents = {item.at.host: item for item in daemons if item.is_agent}
     for row in reader.section(newest, "servers"):
         agent = agents.get(row["server_host"])
-        told = reader.section(agent, "backend") if agent else iter(())
-        yield row | next(told, {})
+        reports = reader.section(agent, "backend") if agent else iter(())
+        yield row | next(reports, {})
 
 
 def revisions(_: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
@@ -82,8 +82,8 @@
         if daemon.is_agent:
             continue
         health = daemon.health
-        shown = {name: health[name] for name in REVISION_COLUMNS}
-        yield {"host": daemon.host} | shown
+        columns = {name: health[name] for name in REVISION_COLUMNS}
+        yield {"host": daemon.host} | columns
 
 
 def problems(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
@@ -93,7 +93,7 @@
     left out.
     """
     for daemon in daemons:
-        if daemon.is_agent or not carries_opaque(daemon):
+        if daemon.is_agent or not serves_opaque_flows(daemon):
             continue
         if daemon.health["refused"]:
             yield {"host": daemon.host, "refused": daemon.health["refused"]}
@@ -115,16 +115,16 @@
 SUBJECTS: dict[str, Callable[[FleetReader, list[Daemon]], Iterator[Row]]] = {
     "services": services,
     "servers": servers,
-    "zones": _from("zones", "balancer"),
-    "pressure": _from("pressure", "balancer"),
-    "splits": _from("splits", "balancer"),
-    "distances": _from("distances", "balancer"),
-    "flows": _from("flows"),
-    "requests": _from("requests", "agent"),
+    "zones": _section_rows("zones", "balancer"),
+    "pressure": _section_rows("pressure", "balancer"),
+    "splits": _section_rows("splits", "balancer"),
+    "distances": _section_rows("distances", "balancer"),
+    "flows": _section_rows("flows"),
+    "requests": _section_rows("requests", "agent"),
     "revisions": revisions,
     "leaving": leaving,
     "counters": counter_rows,
-    "peers": _from("peers"),
+    "peers": _section_rows("peers"),
 }
 
 
@@ -151,10 +151,10 @@
                 yield (
                     {"host": daemon.host, "source": section}
                     | row
-                    | _load(known.get(row.get("server"), {}))
+                    | _load_columns(known.get(row.get("server"), {}))
                 )
 
 
-def _load(server: Row) -> Row:
+def _load_columns(server: Row) -> Row:
     names = ("flows", "running", "pace_ms", "load_age_s", "takes_new_flows")
     return {name: server[name] for name in names if name in server}
--- a/notchhoist/cli/asking.py
+++ b/notchhoist/cli/queries.py
@@ -8,14 +8,14 @@
 from operator import eq, ge, gt, le, lt, ne
 from typing import Any
 
-from notchhoist.cli import asking_flows, statements
-from notchhoist.cli.asking_flows import carries_opaque
+from notchhoist.cli import opaque_queries, statements
 from notchhoist.cli.fleet_reader import (
     Daemon,
     FleetReader,
     Row,
     counter_rows,
 )
+from notchhoist.cli.opaque_queries import serves_opaque_flows
 
 Comparison = Callable[[Any, Any], bool]
 
@@ -55,8 +55,8 @@
 def show(reader: FleetReader, statement: statements.Show) -> list[Row]:
     """Returns the filtered, sorted and limited rows of a ``show`` statement."""
     daemons = reader.daemons(statement.host)
-    made = _rows(reader, daemons, statement.subject)
-    rows = [row for row in made if _holds(row, statement)]
+    all_rows = _rows(reader, daemons, statement.subject)
+    rows = [row for row in all_rows if _matches(row, statement)]
     if statement.order:
         rows.sort(
             key=lambda row: _order_key(row.get(statement.order)),
@@ -69,27 +69,27 @@
     reader: FleetReader, daemons: list[Daemon], subject: str
 ) -> Iterator[Row]:
     """Yields the rows of a subject from CoAP and opaque-flow daemons."""
-    opaque = [item for item in daemons if carries_opaque(item)]
-    others = [item for item in daemons if item not in opaque]
-    if others:
-        made = _SUBJECTS.get(subject)
-        yield from made(reader, others) if made else ()
+    opaque = [item for item in daemons if serves_opaque_flows(item)]
+    coap = [item for item in daemons if item not in opaque]
+    if coap:
+        read_rows = _SUBJECTS.get(subject)
+        yield from read_rows(reader, coap) if read_rows else ()
     if opaque:
-        yield from asking_flows.SUBJECTS[subject](reader, opaque)
+        yield from opaque_queries.SUBJECTS[subject](reader, opaque)
 
 
-def _holds(row: Row, statement: statements.Show) -> bool:
-    return all(_compare(row, item) for item in statement.conditions)
+def _matches(row: Row, statement: statements.Show) -> bool:
+    return all(_meets_condition(row, item) for item in statement.conditions)
 
 
-def _compare(row: Row, condition: statements.Condition) -> bool:
+def _meets_condition(row: Row, condition: statements.Condition) -> bool:
     value = row.get(condition.field)
     if condition.operator == "~":
         return str(condition.value) in str(value)
-    wanted: Any = condition.value
-    if isinstance(wanted, str) or not isinstance(value, int | float):
-        value, wanted = str(value), str(wanted)
-    return _COMPARISONS[condition.operator](value, wanted)
+    expected: Any = condition.value
+    if isinstance(expected, str) or not isinstance(value, int | float):
+        value, expected = str(value), str(expected)
+    return _COMPARISONS[condition.operator](value, expected)
 
 
 def _order_key(value: Any) -> tuple[bool, Any]:
@@ -137,10 +137,10 @@
                 "slots": server["slots"],
             }
             agent = agents.get(server["name"])
-            yield row | (_load_of(reader, agent) if agent else {})
+            yield row | (_server_load(reader, agent) if agent else {})
 
 
-def _load_of(reader: FleetReader, agent: Daemon) -> Row:
+def _server_load(reader: FleetReader, agent: Daemon) -> Row:
     admission: Row = next(iter(reader.section(agent, "admission")), {})
     flows = sum(1 for _ in reader.section(agent, "flows"))
     return {
@@ -241,18 +241,18 @@
     rows: list[Row] = []
     caller = str(statement.caller)
     daemons = reader.daemons(statement.host)
-    opaque = [item for item in daemons if carries_opaque(item)]
-    rows.extend(asking_flows.why_flow(reader, opaque, caller))
+    opaque = [item for item in daemons if serves_opaque_flows(item)]
+    rows.extend(opaque_queries.why_flow(reader, opaque, caller))
     for daemon in daemons:
         if daemon in opaque:
             continue
         sections = ("flows", "directory") if daemon.is_agent else ("hints",)
         for section in sections:
-            rows.extend(_traces(reader, daemon, section, caller))
+            rows.extend(_flow_rows(reader, daemon, section, caller))
     return rows
 
 
-def _traces(
+def _flow_rows(
     reader: FleetReader, daemon: Daemon, section: str, caller: str
 ) -> Iterator[Row]:
     revision = daemon.health["revision"]
@@ -279,20 +279,20 @@
 
     Only decisions with a reason are listed.
     """
-    asked = statements.Show("counters", host=statement.host)
+    query = statements.Show("counters", host=statement.host)
     counts = [
         row
-        for row in show(reader, asked)
+        for row in show(reader, query)
         if row["counter"] in REASON_COUNTERS and row["count"]
     ]
-    return counts + _last_decisions(reader, statement.host)
+    return counts + _recent_decisions(reader, statement.host)
 
 
-def _last_decisions(reader: FleetReader, host: str) -> list[Row]:
+def _recent_decisions(reader: FleetReader, host: str) -> list[Row]:
     return [
         {"host": daemon.host} | decision
         for daemon in reader.daemons(host)
-        if daemon.is_agent or carries_opaque(daemon)
+        if daemon.is_agent or serves_opaque_flows(daemon)
         for decision in reader.section(daemon, "decisions")
         if decision["reason"]
     ]
@@ -303,7 +303,7 @@
 ) -> list[Row]:
     """Returns the daemons that refused a document, with field and reason."""
     daemons = reader.daemons(statement.host)
-    if any(carries_opaque(daemon) for daemon in daemons):
-        return list(asking_flows.problems(reader, daemons))
-    asked = statements.Show("revisions", host=statement.host)
-    return [row for row in show(reader, asked) if row["refused"]]
+    if any(serves_opaque_flows(daemon) for daemon in daemons):
+        return list(opaque_queries.problems(reader, daemons))
+    query = statements.Show("revisions", host=statement.host)
+    return [row for row in show(reader, query) if row["refused"]]
--- a/notchhoist/cli/statements.py
+++ b/notchhoist/cli/statements.py
@@ -13,7 +13,7 @@
 
 GRAMMAR = Path(__file__).with_name("statements.lark")
 DEFAULT_WAIT_S = 10
-MAX_EXPECTED = 6
+MAX_EXPECTED_TOKENS = 6
 
 
 @attrs.frozen
@@ -143,7 +143,7 @@
 Statement = Show | WhyFlow | WhyRequests | WhyConfiguration | Change | WaitUntil
 
 
-class _Builder(Transformer):  # type: ignore[type-arg]
+class _StatementBuilder(Transformer):  # type: ignore[type-arg]
     """Turns a parse tree into a statement; a method for each grammar rule."""
 
     def number(self, items: list[Token]) -> float:
@@ -191,8 +191,8 @@
         return WhyConfiguration()
 
     def why(self, items: list[Any]) -> Statement:
-        asked, host = items
-        return attrs.evolve(asked, host=host or "")
+        statement, host = items
+        return attrs.evolve(statement, host=host or "")
 
     def create(self, items: list[Token]) -> CreateService:
         return CreateService(str(items[0]), model.parse_endpoint(items[1]))
@@ -253,22 +253,24 @@
     """
     try:
         tree = _parser().parse(text)
-        return Success(_Builder().transform(tree))
+        return Success(_StatementBuilder().transform(tree))
     except UnexpectedInput as error:
-        return Failure(_error_of(error, text))
+        return Failure(_to_statement_error(error, text))
 
 
-def _error_of(error: UnexpectedInput, text: str) -> model.StatementError:
+def _to_statement_error(
+    error: UnexpectedInput, text: str
+) -> model.StatementError:
     at_end = getattr(getattr(error, "token", None), "type", "") == "$END"
     column = len(text) + 1 if at_end else error.column
     names = getattr(error, "accepts", None) or getattr(error, "expected", [])
     if isinstance(error, UnexpectedCharacters):
         names = error.allowed or []
-    readable = sorted(_readable(str(name)) for name in names)
-    expected = " or ".join(readable[:MAX_EXPECTED]) or "a different word"
+    readable = sorted(_readable_token(str(name)) for name in names)
+    expected = " or ".join(readable[:MAX_EXPECTED_TOKENS]) or "a different word"
     got = text[column - 1 :].split(" ")[0]
     return model.StatementError(column, expected, repr(got) if got else "end")
 
 
-def _readable(name: str) -> str:
+def _readable_token(name: str) -> str:
     return {"$END": "end of statement", "SEMICOLON": "';'"}.get(name, name)
--- a/notchhoist/cli/tests/test_flow_story.py
+++ b/notchhoist/cli/tests/test_flow_story.py
@@ -2,14 +2,14 @@
 
 import json
 
-from notchhoist.cli.flow_story import story_of, tell
+from notchhoist.cli.flow_story import format_story, story_of
 
 FLOW = "100.64.0.12:1028-198.18.0.1:8443"
 
 
 def line(timestamp, event, **fields):
-    made = {"timestamp": timestamp, "message_type": event, "host": "h"}
-    return json.dumps({**made, **fields})
+    common = {"timestamp": timestamp, "message_type": event, "host": "h"}
+    return json.dumps({**common, **fields})
 
 
 def test_lines_of_flow_and_its_server_are_sorted_by_time():
@@ -24,7 +24,7 @@
     ]
     story = story_of(FLOW, lines)
     assert [item.event for item in story] == ["place", "suspect", "reset"]
-    [first, *_] = tell(story)
+    [first, *_] = format_story(story)
     assert "load_age_s=0.2" in first
 
 
--- a/notchhoist/cli/tests/test_losses.py
+++ b/notchhoist/cli/tests/test_losses.py
@@ -2,8 +2,8 @@
 
 import gzip
 
-from notchhoist.cli.log_files import lines_of
-from notchhoist.cli.losses import causes_of, table
+from notchhoist.cli.log_files import read_lines
+from notchhoist.cli.losses import causes_of, format_causes
 from notchhoist.cli.tests.test_flow_story import FLOW, line
 
 
@@ -21,7 +21,7 @@
     assert (late.name, late.count, late.flow) == ("late: late", 2, "f")
     assert late.by_moment == {10: 1, 12: 1}
     assert refused.name == "refuse: no slot in time"
-    [first, _] = table([late, refused])
+    [first, _] = format_causes([late, refused])
     assert "10s:1 12s:1" in first
 
 
@@ -45,5 +45,5 @@
     path = tmp_path / "a.log.gz"
     with gzip.open(path, "wt") as file:
         print(line(1.0, "reset", flow=FLOW, outcome="no route"), file=file)
-    [cause] = causes_of(lines_of([path]))
+    [cause] = causes_of(read_lines([path]))
     assert cause.flow == FLOW
--- a/notchhoist/cli/tests/test_statements.py
+++ b/notchhoist/cli/tests/test_statements.py
@@ -3,7 +3,7 @@
 import pytest
 
 from notchhoist import documents, model
-from notchhoist.cli import asking_flows, changing, statements
+from notchhoist.cli import document_changes, opaque_queries, statements
 from notchhoist.testing.deployment import HALLBOOK, service_of
 
 SERVICE = service_of(HALLBOOK, 0, 67.0)
@@ -16,7 +16,7 @@
 
 def change(text, current=CURRENT):
     statement = statements.parse_statement(text).unwrap()
-    return changing.next_document(current, statement)
+    return document_changes.next_document(current, statement)
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
 
 
 def test_every_subject_of_opaque_flow_daemons_is_parsed():
-    for subject in asking_flows.SUBJECTS:
+    for subject in opaque_queries.SUBJECTS:
         statement = statements.parse_statement(f"show {subject}").unwrap()
         assert statement.subject == subject
 
