--- a/notchhoist/cli/fleet_reader.py
+++ b/notchhoist/cli/fleet_reader.py
@@ -54,11 +54,11 @@
     """A daemon that answered a health request.
 
     Attributes:
-        at: Operator port of the daemon.
+        operator_port: Operator port of the daemon.
         health: Body of the response of ``/health``.
     """
 
-    at: model.Endpoint
+    operator_port: model.Endpoint
     health: Row
 
     @property
@@ -80,14 +80,14 @@
         settings: Settings of the tool.
         client: HTTP client for all requests.
         failures: Requests to daemons that failed since the last call of
-            ``FleetReader.daemons``.
+            ``FleetReader.fetch_daemons``.
     """
 
     settings: OperatorSettings
     client: httpx.Client
     failures: list[DaemonError] = attrs.Factory(list)
 
-    def daemons(self, host: str = "") -> list[Daemon]:
+    def fetch_daemons(self, host: str = "") -> list[Daemon]:
         """Asks all daemons for their health and returns those that answer.
 
         With a host, only the daemon of that host is returned. ``failures`` is
@@ -103,7 +103,7 @@
                 self.failures.append(result.failure())
         return [item for item in answering if host in ("", item.host)]
 
-    def section(self, daemon: Daemon, name: str) -> Iterator[Any]:
+    def read_section(self, daemon: Daemon, name: str) -> Iterator[Any]:
         """Yields the entries of a section of a daemon's state dump.
 
         The section is read page by page. A failed request ends the iteration
@@ -112,7 +112,7 @@
         offset = 0
         while True:
             query = {"offset": offset, "limit": PAGE_SIZE}
-            result = self._get(daemon.at, f"/dump/{name}", query)
+            result = self._get(daemon.operator_port, f"/dump/{name}", query)
             if not isinstance(result, Success):
                 self.failures.append(result.failure())
                 return
@@ -137,7 +137,9 @@
             return Failure(DaemonError(str(at), body.get("error", "refused")))
         return Success(body)
 
-    def published(self) -> Result[model.Configuration, model.NotchhoistError]:
+    def fetch_published(
+        self,
+    ) -> Result[model.Configuration, model.NotchhoistError]:
         """Fetches the published configuration document from the platform."""
         url = f"{self.settings.platform}/configuration"
         try:
@@ -152,7 +154,7 @@
 def counter_rows(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
     """Yields every counter of every daemon."""
     for daemon in daemons:
-        for entry in reader.section(daemon, "counters"):
+        for entry in reader.read_section(daemon, "counters"):
             yield {
                 "host": daemon.host,
                 "counter": entry["key"],
--- a/notchhoist/cli/flow_story.py
+++ b/notchhoist/cli/flow_story.py
@@ -80,14 +80,14 @@
 
 
 def story_of(
-    flow: str, lines: Iterable[str], own_only: bool = False
+    flow: str, lines: Iterable[str], flow_only: bool = False
 ) -> list[StoryLine]:
     """Returns the log lines of a flow and of its backend servers by time.
 
     Args:
         flow: Id of the flow as written in the logs.
         lines: Log lines of any processes in any order.
-        own_only: Leaves out the lines of its backend servers.
+        flow_only: Leaves out the lines of its backend servers.
     """
     candidates = list(
         filter_lines([flow, '"server"', f'"{SERVERS_EVENT}"'], lines)
@@ -97,7 +97,7 @@
         for line in map(parse_line, filter_lines([flow], candidates))
         if line is not None and line.get("flow") == flow
     ]
-    if own_only:
+    if flow_only:
         return sorted(flow_lines)
     servers = {item.server for item in flow_lines if item.server}
     server_lines = [
--- a/notchhoist/cli/main.py
+++ b/notchhoist/cli/main.py
@@ -200,7 +200,7 @@
     command: Command, reader: FleetReader
 ) -> Result[model.Configuration, model.NotchhoistError]:
     if command.document is None:
-        return reader.published()
+        return reader.fetch_published()
     return documents.parse_configuration(command.document.read_bytes())
 
 
@@ -220,7 +220,7 @@
     """
     deadline = anyio.current_time() + statement.seconds
     while True:
-        daemons = reader.daemons()
+        daemons = reader.fetch_daemons()
         lagging = [
             f"{item.host} at {item.health['revision']}"
             for item in daemons
--- a/notchhoist/cli/opaque_queries.py
+++ b/notchhoist/cli/opaque_queries.py
@@ -47,7 +47,7 @@
     def rows(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
         for daemon in daemons:
             if role in ("", daemon.health["role"]):
-                for entry in reader.section(daemon, section):
+                for entry in reader.read_section(daemon, section):
                     yield {"host": daemon.host} | entry
 
     return rows
@@ -57,7 +57,7 @@
     """Yields the routes known to the balancer with the newest view."""
     newest = _newest_balancer(daemons)
     if newest is not None:
-        yield from reader.section(newest, "services")
+        yield from reader.read_section(newest, "services")
 
 
 def servers(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
@@ -69,10 +69,12 @@
     newest = _newest_balancer(daemons)
     if newest is None:
         return
-    agents = {item.at.host: item for item in daemons if item.is_agent}
-    for row in reader.section(newest, "servers"):
+    agents = {
+        item.operator_port.host: item for item in daemons if item.is_agent
+    }
+    for row in reader.read_section(newest, "servers"):
         agent = agents.get(row["server_host"])
-        reports = reader.section(agent, "backend") if agent else iter(())
+        reports = reader.read_section(agent, "backend") if agent else iter(())
         yield row | next(reports, {})
 
 
@@ -97,7 +99,7 @@
             continue
         if daemon.health["refused"]:
             yield {"host": daemon.host, "refused": daemon.health["refused"]}
-        for row in reader.section(daemon, "problems"):
+        for row in reader.read_section(daemon, "problems"):
             yield {"host": daemon.host} | row
 
 
@@ -138,14 +140,17 @@
     """
     for daemon in daemons:
         known = (
-            {row["server"]: row for row in reader.section(daemon, "servers")}
+            {
+                row["server"]: row
+                for row in reader.read_section(daemon, "servers")
+            }
             if not daemon.is_agent
             else {}
         )
         for section in ("flows", "requests", "decisions"):
             if section == "requests" and not daemon.is_agent:
                 continue
-            for row in reader.section(daemon, section):
+            for row in reader.read_section(daemon, section):
                 if not str(row["flow"]).startswith(f"{caller}-"):
                     continue
                 yield (
--- a/notchhoist/cli/queries.py
+++ b/notchhoist/cli/queries.py
@@ -1,7 +1,7 @@
 """Executes query statements: ``show`` and ``why``.
 
 The rows come from the state dumps of the daemons. Daemons for opaque flows have
-other sections and are read by ``asking_flows``.
+other sections and are read by ``opaque_queries``.
 """
 
 from collections.abc import Callable, Iterator
@@ -54,7 +54,7 @@
 
 def show(reader: FleetReader, statement: statements.Show) -> list[Row]:
     """Returns the filtered, sorted and limited rows of a ``show`` statement."""
-    daemons = reader.daemons(statement.host)
+    daemons = reader.fetch_daemons(statement.host)
     all_rows = _rows(reader, daemons, statement.subject)
     rows = [row for row in all_rows if _matches(row, statement)]
     if statement.order:
@@ -121,7 +121,7 @@
     )
     if newest is None:
         return
-    for entry in reader.section(newest, "services"):
+    for entry in reader.read_section(newest, "services"):
         yield entry["value"]
 
 
@@ -141,8 +141,8 @@
 
 
 def _server_load(reader: FleetReader, agent: Daemon) -> Row:
-    admission: Row = next(iter(reader.section(agent, "admission")), {})
-    flows = sum(1 for _ in reader.section(agent, "flows"))
+    admission: Row = next(iter(reader.read_section(agent, "admission")), {})
+    flows = sum(1 for _ in reader.read_section(agent, "flows"))
     return {
         "in_flight": admission.get("in_flight"),
         "limit": int(admission.get("ramp", {}).get("level", 0)),
@@ -154,7 +154,7 @@
     for daemon in daemons:
         if not daemon.is_agent:
             continue
-        for entry in reader.section(daemon, "flows"):
+        for entry in reader.read_section(daemon, "flows"):
             flow = entry["value"]
             yield {
                 "caller": entry["key"],
@@ -170,7 +170,7 @@
     for daemon in daemons:
         if not daemon.is_agent:
             continue
-        for entry in reader.section(daemon, "runs"):
+        for entry in reader.read_section(daemon, "runs"):
             run = entry["value"]
             yield {
                 "server": daemon.host,
@@ -196,7 +196,7 @@
 
 def _leaving(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
     for daemon in daemons:
-        for config in reader.section(daemon, "config"):
+        for config in reader.read_section(daemon, "config"):
             for name in config["leaving"]:
                 yield {"leaving": name, "host": daemon.host, "by": "host list"}
         if daemon.health["stopping"]:
@@ -207,7 +207,7 @@
     for daemon in daemons:
         if not daemon.is_agent:
             continue
-        for entry in reader.section(daemon, "peers"):
+        for entry in reader.read_section(daemon, "peers"):
             report = entry["value"]["report"]
             yield {
                 "host": daemon.host,
@@ -240,7 +240,7 @@
     """
     rows: list[Row] = []
     caller = str(statement.caller)
-    daemons = reader.daemons(statement.host)
+    daemons = reader.fetch_daemons(statement.host)
     opaque = [item for item in daemons if serves_opaque_flows(item)]
     rows.extend(opaque_queries.why_flow(reader, opaque, caller))
     for daemon in daemons:
@@ -256,7 +256,7 @@
     reader: FleetReader, daemon: Daemon, section: str, caller: str
 ) -> Iterator[Row]:
     revision = daemon.health["revision"]
-    for entry in reader.section(daemon, section):
+    for entry in reader.read_section(daemon, section):
         if section == "directory":
             pointer = entry["pointers"].get(caller)
             if pointer:
@@ -275,9 +275,9 @@
 def why_requests(
     reader: FleetReader, statement: statements.WhyRequests
 ) -> list[Row]:
-    """Returns nonzero counters of failure causes, then recent decisions.
+    """Returns counters of refusals and retries, then recent decisions.
 
-    Only decisions with a reason are listed.
+    Only nonzero counters and decisions with a reason are listed.
     """
     query = statements.Show("counters", host=statement.host)
     counts = [
@@ -291,9 +291,9 @@
 def _recent_decisions(reader: FleetReader, host: str) -> list[Row]:
     return [
         {"host": daemon.host} | decision
-        for daemon in reader.daemons(host)
+        for daemon in reader.fetch_daemons(host)
         if daemon.is_agent or serves_opaque_flows(daemon)
-        for decision in reader.section(daemon, "decisions")
+        for decision in reader.read_section(daemon, "decisions")
         if decision["reason"]
     ]
 
@@ -302,7 +302,7 @@
     reader: FleetReader, statement: statements.WhyConfiguration
 ) -> list[Row]:
     """Returns the daemons that refused a document, with field and reason."""
-    daemons = reader.daemons(statement.host)
+    daemons = reader.fetch_daemons(statement.host)
     if any(serves_opaque_flows(daemon) for daemon in daemons):
         return list(opaque_queries.problems(reader, daemons))
     query = statements.Show("revisions", host=statement.host)
