--- a/notchhoist/cli/main.py
+++ b/notchhoist/cli/main.py
@@ -1,4 +1,4 @@
-"""``notchhoist``: the operators' command-line tool."""
+"""``notchhoist``: the command-line tool for operators."""
 
 import sys
 import time
@@ -13,9 +13,9 @@
 from returns.result import Result, Success
 
 from notchhoist import documents, model
-from notchhoist.cli import asking, changing, statements
+from notchhoist.cli import document_changes, queries, statements
 from notchhoist.cli.fleet_reader import (
-    TIMEOUT_S,
+    REQUEST_TIMEOUT_S,
     FleetReader,
     OperatorSettings,
     Row,
@@ -28,9 +28,9 @@
 EXIT_CONFLICT = 4
 EXIT_NOT_IN_FORCE = 5
 EXIT_REFUSED = 6
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 CLEAR_SCREEN = "\x1b[2J\x1b[H"
-"""Terminal codes: clear the screen, go to its corner."""
+"""ANSI escape codes: clear the screen and move the cursor to its top left."""
 
 HELP = """\
 One statement of the command language; without one, reads them line by line.
@@ -104,57 +104,63 @@
 
 
 def execute(command: Command, text: str, reader: FleetReader) -> int:
-    """Carries out one statement; returns the exit status."""
+    """Executes one statement and returns the exit status."""
     result = statements.parse_statement(text)
     if not isinstance(result, Success):
-        _complain(result.failure())
+        _print_error(result.failure())
         return EXIT_BAD_STATEMENT
     statement = result.unwrap()
     match statement:
         case statements.WaitUntil():
-            return anyio.run(_wait, reader, statement)
+            return anyio.run(_wait_in_force, reader, statement)
         case statements.Show():
-            rows = asking.show(reader, statement)
+            rows = queries.show(reader, statement)
         case statements.WhyFlow():
-            rows = asking.why_flow(reader, statement)
+            rows = queries.why_flow(reader, statement)
         case statements.WhyRequests():
-            rows = asking.why_requests(reader, statement)
+            rows = queries.why_requests(reader, statement)
         case statements.WhyConfiguration():
-            rows = asking.why_configuration(reader, statement)
+            rows = queries.why_configuration(reader, statement)
         case _:
             return _change(command, statement, reader)
     return _print_rows(command, rows, reader)
 
 
-def _complain(error: model.NotchhoistError) -> None:
+def _print_error(error: model.NotchhoistError) -> None:
     print(error, file=sys.stderr)
 
 
 def _print_rows(command: Command, rows: list[Row], reader: FleetReader) -> int:
     for failure in reader.failures:
-        _complain(failure)
+        _print_error(failure)
     if command.json:
         print(orjson.dumps(rows).decode())
     else:
-        print(table(rows))
+        print(format_table(rows))
     no_answer = len(reader.failures) >= len(reader.settings.daemons)
     return EXIT_NO_ANSWER if no_answer else EXIT_OK
 
 
-def table(rows: list[Row]) -> str:
-    """Writes rows as a table for people.
+def format_table(rows: list[Row]) -> str:
+    """Formats rows as a text table with aligned columns.
+
+    The columns are the keys of all rows in order of first appearance; a
+    missing value is shown as ``-``.
 
     Examples:
-        >>> print(table([{"server": "a", "flows": 3}]))
+        >>> print(format_table([{"server": "a", "flows": 3}]))
         server  flows
         a       3
     """
     if not rows:
         return "(nothing)"
     names = list(dict.fromkeys(name for row in rows for name in row))
-    cells = [names, *([_cell(row.get(name)) for name in names] for row in rows)]
+    cells = [
+        names,
+        *([_format_cell(row.get(name)) for name in names] for row in rows),
+    ]
     widths = [
-        max(len(row[place]) for row in cells) for place in range(len(names))
+        max(len(row[column]) for row in cells) for column in range(len(names))
     ]
     lines = [
         "  ".join(
@@ -165,84 +171,90 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     return "-" if value is None else str(value)
 
 
 def _change(
     command: Command, change: statements.Change, reader: FleetReader
 ) -> int:
-    published = _published(command, reader)
+    published = _load_published(command, reader)
     if not isinstance(published, Success):
-        _complain(published.failure())
+        _print_error(published.failure())
         return EXIT_NO_ANSWER
     current = published.unwrap()
     if command.expect is not None and current.revision != command.expect:
         expected = f"revision {command.expect}, as --expect says"
         got = f"revision {current.revision}: another operator published first"
-        _complain(model.StatementError(0, expected, got))
+        _print_error(model.StatementError(0, expected, got))
         return EXIT_CONFLICT
-    result = changing.next_document(current, change)
+    result = document_changes.next_document(current, change)
     if not isinstance(result, Success):
-        _complain(result.failure())
+        _print_error(result.failure())
         return EXIT_REFUSED
-    _write(command, documents.write_configuration(result.unwrap()))
+    _write_document(command, documents.write_configuration(result.unwrap()))
     return EXIT_OK
 
 
-def _published(
+def _load_published(
     command: Command, reader: FleetReader
 ) -> Result[model.Configuration, model.NotchhoistError]:
     if command.document is None:
-        return reader.published()
+        return reader.fetch_published()
     return documents.parse_configuration(command.document.read_bytes())
 
 
-def _write(command: Command, text: bytes) -> None:
+def _write_document(command: Command, text: bytes) -> None:
     if command.output is not None:
         command.output.write_bytes(text)
     else:
         print(text.decode())
 
 
-async def _wait(reader: FleetReader, statement: statements.WaitUntil) -> int:
-    """Waits until a revision is in force everywhere, for a bounded time."""
-    until = anyio.current_time() + statement.seconds
+async def _wait_in_force(
+    reader: FleetReader, statement: statements.WaitUntil
+) -> int:
+    """Polls all daemons until a revision is in force or the time is up.
+
+    A daemon that does not answer counts as lagging.
+    """
+    deadline = anyio.current_time() + statement.seconds
     while True:
-        daemons = reader.daemons()
-        behind = [
+        daemons = reader.fetch_daemons()
+        lagging = [
             f"{item.host} at {item.health['revision']}"
             for item in daemons
-            # Agents on the opaque-flow path read no configuration.
+            # Agents for opaque flows read no configuration: no revision.
             if item.health["revision"] is not None
             and item.health["revision"] < statement.revision
         ]
-        behind += [str(failure) for failure in reader.failures]
-        if not behind:
+        lagging += [str(failure) for failure in reader.failures]
+        if not lagging:
             print(f"revision {statement.revision} in force everywhere")
             return EXIT_OK
-        if anyio.current_time() >= until:
-            print("\n".join(["lagging:", *behind]))
+        if anyio.current_time() >= deadline:
+            print("\n".join(["lagging:", *lagging]))
             return EXIT_NOT_IN_FORCE
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
 def run(command: Command, read_line: Callable[[str], str]) -> int:
-    """Carries out the command; returns the exit status.
+    """Runs the tool and returns the exit status.
 
     Args:
         command: The command line.
-        read_line: Reads a statement after a prompt.
+        read_line: Shows a prompt and returns the line that the user enters;
+            raises EOFError at the end of input.
 
     Returns:
-        The exit status; of several statements, the last one's.
+        The exit status; after several statements, that of the last one.
     """
     loaded = load_operator_settings(command.settings)
     if not isinstance(loaded, Success):
-        _complain(loaded.failure())
+        _print_error(loaded.failure())
         return EXIT_BAD_STATEMENT
     settings: OperatorSettings = loaded.unwrap()
-    with httpx.Client(timeout=TIMEOUT_S, trust_env=False) as client:
+    with httpx.Client(timeout=REQUEST_TIMEOUT_S, trust_env=False) as client:
         reader = FleetReader(settings, client)
         if command.statement and command.watch > 0:
             return _watch(command, reader)
@@ -252,7 +264,10 @@
 
 
 def _watch(command: Command, reader: FleetReader) -> int:
-    """Asks again and again; each answer takes the place of the last."""
+    """Repeats a statement and redraws the screen with each result.
+
+    Stops at the first exit status other than ``EXIT_OK``.
+    """
     while True:
         print(CLEAR_SCREEN, end="")
         status = execute(command, command.statement, reader)
--- a/notchhoist/cli/asking_flows.py
+++ b/notchhoist/cli/opaque_queries.py
@@ -1,4 +1,4 @@
-"""Query statements on daemons that carry opaque flows."""
+"""Query statements for daemons that serve opaque flows."""
 
 from collections.abc import Callable, Iterator
 
@@ -9,7 +9,7 @@
     counter_rows,
 )
 
-PATH = "opaque"
+OPAQUE_PATH = "opaque"
 
 REVISION_COLUMNS = (
     "role",
@@ -25,77 +25,86 @@
 )
 
 
-def carries_opaque(daemon: Daemon) -> bool:
-    """Tells whether a daemon is on the opaque-flow path."""
-    return daemon.health.get("path") == PATH
+def serves_opaque_flows(daemon: Daemon) -> bool:
+    """Returns whether a daemon serves opaque flows."""
+    return daemon.health.get("path") == OPAQUE_PATH
 
 
-def _newest(daemons: list[Daemon]) -> Daemon | None:
-    """Returns the balancer that knows most of what is published."""
+def _newest_balancer(daemons: list[Daemon]) -> Daemon | None:
+    """Returns the balancer with the highest view revision, or None."""
     balancers = [item for item in daemons if not item.is_agent]
     return max(
         balancers, key=lambda item: item.health["view_revision"], default=None
     )
 
 
-def _from(section: str, role: str = "") -> Callable[..., Iterator[Row]]:
-    """Returns what yields a section of every daemon of a role."""
+def _section_rows(section: str, role: str = "") -> Callable[..., Iterator[Row]]:
+    """Returns a function that yields a dump section of every daemon of a role.
+
+    Without a role, the section is read from all daemons.
+    """
 
     def rows(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
         for daemon in daemons:
             if role in ("", daemon.health["role"]):
-                for entry in reader.section(daemon, section):
+                for entry in reader.read_section(daemon, section):
                     yield {"host": daemon.host} | entry
 
     return rows
 
 
 def services(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields the routes at the balancer that knows most."""
-    newest = _newest(daemons)
+    """Yields the routes known to the balancer with the newest view."""
+    newest = _newest_balancer(daemons)
     if newest is not None:
-        yield from reader.section(newest, "services")
+        yield from reader.read_section(newest, "services")
 
 
 def servers(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields backend servers, each with what its agent says and balancers see.
+    """Yields backend servers as seen by a balancer and by their agents.
 
-    ``failing`` and ``service_ms`` are the agent's evidence, ``pace_ms`` and
-    ``counts_as_slots`` what a balancer makes of it.
+    ``failing`` and ``service_ms`` are measured by the agent; ``pace_ms`` and
+    ``counts_as_slots`` are what the balancer derives from its reports.
     """
-    newest = _newest(daemons)
+    newest = _newest_balancer(daemons)
     if newest is None:
         return
-    agents = {item.at.host: item for item in daemons if item.is_agent}
-    for row in reader.section(newest, "servers"):
+    agents = {
+        item.operator_port.host: item for item in daemons if item.is_agent
+    }
+    for row in reader.read_section(newest, "servers"):
         agent = agents.get(row["server_host"])
-        told = reader.section(agent, "backend") if agent else iter(())
-        yield row | next(told, {})
+        reports = reader.read_section(agent, "backend") if agent else iter(())
+        yield row | next(reports, {})
 
 
 def revisions(_: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields what each balancer has in force, and how fresh it is."""
+    """Yields the revisions in force at each balancer and its view's age."""
     for daemon in daemons:
         if daemon.is_agent:
             continue
         health = daemon.health
-        shown = {name: health[name] for name in REVISION_COLUMNS}
-        yield {"host": daemon.host} | shown
+        columns = {name: health[name] for name in REVISION_COLUMNS}
+        yield {"host": daemon.host} | columns
 
 
 def problems(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields what balancers refused or left out, with field and value."""
+    """Yields the problems that balancers found in published documents.
+
+    A row names a refused document, or the field and value of an entry that was
+    left out.
+    """
     for daemon in daemons:
-        if daemon.is_agent or not carries_opaque(daemon):
+        if daemon.is_agent or not serves_opaque_flows(daemon):
             continue
         if daemon.health["refused"]:
             yield {"host": daemon.host, "refused": daemon.health["refused"]}
-        for row in reader.section(daemon, "problems"):
+        for row in reader.read_section(daemon, "problems"):
             yield {"host": daemon.host} | row
 
 
 def leaving(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
-    """Yields servers that drain and daemons that stop."""
+    """Yields draining backend servers and stopping daemons."""
     for row in servers(reader, daemons):
         if row["state"] == "draining":
             host = row["server_host"]
@@ -108,45 +117,49 @@
 SUBJECTS: dict[str, Callable[[FleetReader, list[Daemon]], Iterator[Row]]] = {
     "services": services,
     "servers": servers,
-    "zones": _from("zones", "balancer"),
-    "pressure": _from("pressure", "balancer"),
-    "splits": _from("splits", "balancer"),
-    "distances": _from("distances", "balancer"),
-    "flows": _from("flows"),
-    "requests": _from("requests", "agent"),
+    "zones": _section_rows("zones", "balancer"),
+    "pressure": _section_rows("pressure", "balancer"),
+    "splits": _section_rows("splits", "balancer"),
+    "distances": _section_rows("distances", "balancer"),
+    "flows": _section_rows("flows"),
+    "requests": _section_rows("requests", "agent"),
     "revisions": revisions,
     "leaving": leaving,
     "counters": counter_rows,
-    "peers": _from("peers"),
+    "peers": _section_rows("peers"),
 }
 
 
 def why_flow(
     reader: FleetReader, daemons: list[Daemon], caller: str
 ) -> Iterator[Row]:
-    """Yields who knows a caller's flow, why it was reset, and what it met.
+    """Yields flows, requests and decisions of a caller from all daemons.
 
-    The rows of a placement carry what the balancer knows of the server now.
+    Rows of a balancer that name a server also show the balancer's present load
+    figures of that server.
     """
     for daemon in daemons:
         known = (
-            {row["server"]: row for row in reader.section(daemon, "servers")}
+            {
+                row["server"]: row
+                for row in reader.read_section(daemon, "servers")
+            }
             if not daemon.is_agent
             else {}
         )
         for section in ("flows", "requests", "decisions"):
             if section == "requests" and not daemon.is_agent:
                 continue
-            for row in reader.section(daemon, section):
+            for row in reader.read_section(daemon, section):
                 if not str(row["flow"]).startswith(f"{caller}-"):
                     continue
                 yield (
                     {"host": daemon.host, "source": section}
                     | row
-                    | _load(known.get(row.get("server"), {}))
+                    | _load_columns(known.get(row.get("server"), {}))
                 )
 
 
-def _load(server: Row) -> Row:
+def _load_columns(server: Row) -> Row:
     names = ("flows", "running", "pace_ms", "load_age_s", "takes_new_flows")
     return {name: server[name] for name in names if name in server}
--- a/notchhoist/cli/asking.py
+++ b/notchhoist/cli/queries.py
@@ -1,17 +1,21 @@
-"""Query statements: rows of what daemons know, and why."""
+"""Executes query statements: ``show`` and ``why``.
+
+The rows come from the state dumps of the daemons. Daemons for opaque flows have
+other sections and are read by ``opaque_queries``.
+"""
 
 from collections.abc import Callable, Iterator
 from operator import eq, ge, gt, le, lt, ne
 from typing import Any
 
-from notchhoist.cli import asking_flows, statements
-from notchhoist.cli.asking_flows import carries_opaque
+from notchhoist.cli import opaque_queries, statements
 from notchhoist.cli.fleet_reader import (
     Daemon,
     FleetReader,
     Row,
     counter_rows,
 )
+from notchhoist.cli.opaque_queries import serves_opaque_flows
 
 Comparison = Callable[[Any, Any], bool]
 
@@ -49,10 +53,10 @@
 
 
 def show(reader: FleetReader, statement: statements.Show) -> list[Row]:
-    """Returns the rows that a statement asks for."""
-    daemons = reader.daemons(statement.host)
-    made = _rows(reader, daemons, statement.subject)
-    rows = [row for row in made if _holds(row, statement)]
+    """Returns the filtered, sorted and limited rows of a ``show`` statement."""
+    daemons = reader.fetch_daemons(statement.host)
+    all_rows = _rows(reader, daemons, statement.subject)
+    rows = [row for row in all_rows if _matches(row, statement)]
     if statement.order:
         rows.sort(
             key=lambda row: _order_key(row.get(statement.order)),
@@ -64,28 +68,28 @@
 def _rows(
     reader: FleetReader, daemons: list[Daemon], subject: str
 ) -> Iterator[Row]:
-    """Yields a subject's rows from the daemons of both paths."""
-    opaque = [item for item in daemons if carries_opaque(item)]
-    others = [item for item in daemons if item not in opaque]
-    if others:
-        made = _SUBJECTS.get(subject)
-        yield from made(reader, others) if made else ()
+    """Yields the rows of a subject from CoAP and opaque-flow daemons."""
+    opaque = [item for item in daemons if serves_opaque_flows(item)]
+    coap = [item for item in daemons if item not in opaque]
+    if coap:
+        read_rows = _SUBJECTS.get(subject)
+        yield from read_rows(reader, coap) if read_rows else ()
     if opaque:
-        yield from asking_flows.SUBJECTS[subject](reader, opaque)
+        yield from opaque_queries.SUBJECTS[subject](reader, opaque)
 
 
-def _holds(row: Row, statement: statements.Show) -> bool:
-    return all(_compare(row, item) for item in statement.conditions)
+def _matches(row: Row, statement: statements.Show) -> bool:
+    return all(_meets_condition(row, item) for item in statement.conditions)
 
 
-def _compare(row: Row, condition: statements.Condition) -> bool:
+def _meets_condition(row: Row, condition: statements.Condition) -> bool:
     value = row.get(condition.field)
     if condition.operator == "~":
         return str(condition.value) in str(value)
-    wanted: Any = condition.value
-    if isinstance(wanted, str) or not isinstance(value, int | float):
-        value, wanted = str(value), str(wanted)
-    return _COMPARISONS[condition.operator](value, wanted)
+    expected: Any = condition.value
+    if isinstance(expected, str) or not isinstance(value, int | float):
+        value, expected = str(value), str(expected)
+    return _COMPARISONS[condition.operator](value, expected)
 
 
 def _order_key(value: Any) -> tuple[bool, Any]:
@@ -110,14 +114,14 @@
 def _newest_services(
     reader: FleetReader, daemons: list[Daemon]
 ) -> Iterator[Row]:
-    """Yields the services at the balancer with the highest revision."""
+    """Yields the services known to the balancer of the highest revision."""
     balancers = [item for item in daemons if not item.is_agent]
     newest = max(
         balancers, key=lambda item: item.health["revision"], default=None
     )
     if newest is None:
         return
-    for entry in reader.section(newest, "services"):
+    for entry in reader.read_section(newest, "services"):
         yield entry["value"]
 
 
@@ -133,12 +137,12 @@
                 "slots": server["slots"],
             }
             agent = agents.get(server["name"])
-            yield row | (_load_of(reader, agent) if agent else {})
+            yield row | (_server_load(reader, agent) if agent else {})
 
 
-def _load_of(reader: FleetReader, agent: Daemon) -> Row:
-    admission: Row = next(iter(reader.section(agent, "admission")), {})
-    flows = sum(1 for _ in reader.section(agent, "flows"))
+def _server_load(reader: FleetReader, agent: Daemon) -> Row:
+    admission: Row = next(iter(reader.read_section(agent, "admission")), {})
+    flows = sum(1 for _ in reader.read_section(agent, "flows"))
     return {
         "in_flight": admission.get("in_flight"),
         "limit": int(admission.get("ramp", {}).get("level", 0)),
@@ -150,7 +154,7 @@
     for daemon in daemons:
         if not daemon.is_agent:
             continue
-        for entry in reader.section(daemon, "flows"):
+        for entry in reader.read_section(daemon, "flows"):
             flow = entry["value"]
             yield {
                 "caller": entry["key"],
@@ -166,7 +170,7 @@
     for daemon in daemons:
         if not daemon.is_agent:
             continue
-        for entry in reader.section(daemon, "runs"):
+        for entry in reader.read_section(daemon, "runs"):
             run = entry["value"]
             yield {
                 "server": daemon.host,
@@ -192,7 +196,7 @@
 
 def _leaving(reader: FleetReader, daemons: list[Daemon]) -> Iterator[Row]:
     for daemon in daemons:
-        for config in reader.section(daemon, "config"):
+        for config in reader.read_section(daemon, "config"):
             for name in config["leaving"]:
                 yield {"leaving": name, "host": daemon.host, "by": "host list"}
         if daemon.health["stopping"]:
@@ -203,7 +207,7 @@
     for daemon in daemons:
         if not daemon.is_agent:
             continue
-        for entry in reader.section(daemon, "peers"):
+        for entry in reader.read_section(daemon, "peers"):
             report = entry["value"]["report"]
             yield {
                 "host": daemon.host,
@@ -229,26 +233,30 @@
 
 
 def why_flow(reader: FleetReader, statement: statements.WhyFlow) -> list[Row]:
-    """Tells who owns a flow, who is its home, and at which revision."""
+    """Returns which daemons know a flow, in which role and at which revision.
+
+    On the CoAP path these are the owner, the home agents, which keep a pointer
+    to the owner, and the balancers that hold a hint.
+    """
     rows: list[Row] = []
     caller = str(statement.caller)
-    daemons = reader.daemons(statement.host)
-    opaque = [item for item in daemons if carries_opaque(item)]
-    rows.extend(asking_flows.why_flow(reader, opaque, caller))
+    daemons = reader.fetch_daemons(statement.host)
+    opaque = [item for item in daemons if serves_opaque_flows(item)]
+    rows.extend(opaque_queries.why_flow(reader, opaque, caller))
     for daemon in daemons:
         if daemon in opaque:
             continue
         sections = ("flows", "directory") if daemon.is_agent else ("hints",)
         for section in sections:
-            rows.extend(_traces(reader, daemon, section, caller))
+            rows.extend(_flow_rows(reader, daemon, section, caller))
     return rows
 
 
-def _traces(
+def _flow_rows(
     reader: FleetReader, daemon: Daemon, section: str, caller: str
 ) -> Iterator[Row]:
     revision = daemon.health["revision"]
-    for entry in reader.section(daemon, section):
+    for entry in reader.read_section(daemon, section):
         if section == "directory":
             pointer = entry["pointers"].get(caller)
             if pointer:
@@ -267,22 +275,25 @@
 def why_requests(
     reader: FleetReader, statement: statements.WhyRequests
 ) -> list[Row]:
-    """Tells the last decisions with a reason, and counts of each cause."""
-    asked = statements.Show("counters", host=statement.host)
+    """Returns counters of refusals and retries, then recent decisions.
+
+    Only nonzero counters and decisions with a reason are listed.
+    """
+    query = statements.Show("counters", host=statement.host)
     counts = [
         row
-        for row in show(reader, asked)
+        for row in show(reader, query)
         if row["counter"] in REASON_COUNTERS and row["count"]
     ]
-    return counts + _last_decisions(reader, statement.host)
+    return counts + _recent_decisions(reader, statement.host)
 
 
-def _last_decisions(reader: FleetReader, host: str) -> list[Row]:
+def _recent_decisions(reader: FleetReader, host: str) -> list[Row]:
     return [
         {"host": daemon.host} | decision
-        for daemon in reader.daemons(host)
-        if daemon.is_agent or carries_opaque(daemon)
-        for decision in reader.section(daemon, "decisions")
+        for daemon in reader.fetch_daemons(host)
+        if daemon.is_agent or serves_opaque_flows(daemon)
+        for decision in reader.read_section(daemon, "decisions")
         if decision["reason"]
     ]
 
@@ -290,9 +301,9 @@
 def why_configuration(
     reader: FleetReader, statement: statements.WhyConfiguration
 ) -> list[Row]:
-    """Tells which daemons refused a document, with field and reason."""
-    daemons = reader.daemons(statement.host)
-    if any(carries_opaque(daemon) for daemon in daemons):
-        return list(asking_flows.problems(reader, daemons))
-    asked = statements.Show("revisions", host=statement.host)
-    return [row for row in show(reader, asked) if row["refused"]]
+    """Returns the daemons that refused a document, with field and reason."""
+    daemons = reader.fetch_daemons(statement.host)
+    if any(serves_opaque_flows(daemon) for daemon in daemons):
+        return list(opaque_queries.problems(reader, daemons))
+    query = statements.Show("revisions", host=statement.host)
+    return [row for row in show(reader, query) if row["refused"]]
--- a/notchhoist/cli/tests/test_losses.py
+++ b/notchhoist/cli/tests/test_losses.py
@@ -1,13 +1,13 @@
-"""Where callers lose, read off the logs."""
+"""Tests of the counting of losses in logs."""
 
 import gzip
 
-from notchhoist.cli.log_files import lines_of
-from notchhoist.cli.losses import causes_of, table
+from notchhoist.cli.log_files import read_lines
+from notchhoist.cli.losses import causes_of, format_causes
 from notchhoist.cli.tests.test_flow_story import FLOW, line
 
 
-def test_causes_are_counted_by_moment_the_worst_first():
+def test_causes_are_counted_by_moment_and_sorted_by_count():
     lines = [
         line(100.0, "start"),
         line(110.1, "refuse", flow=FLOW, outcome="no slot in time"),
@@ -21,16 +21,16 @@
     assert (late.name, late.count, late.flow) == ("late: late", 2, "f")
     assert late.by_moment == {10: 1, 12: 1}
     assert refused.name == "refuse: no slot in time"
-    [first, _] = table([late, refused])
+    [first, _] = format_causes([late, refused])
     assert "10s:1 12s:1" in first
 
 
-def test_no_lines_no_causes():
+def test_no_lines_give_no_causes():
     assert causes_of([]) == []
 
 
-def test_what_the_bound_on_logs_left_out_is_a_cause_of_its_own():
-    """Where lines are missing a table of causes is too good."""
+def test_dropped_log_lines_are_a_separate_cause():
+    """Without this cause, a table from incomplete logs shows too few losses."""
     dropped = {"reset": 30, "place": 4}
     lines = [
         line(100.0, "start"),
@@ -41,9 +41,9 @@
     assert cause.by_moment == {2: 34}
 
 
-def test_compressed_files_are_read(tmp_path):
+def test_gzip_files_are_read(tmp_path):
     path = tmp_path / "a.log.gz"
     with gzip.open(path, "wt") as file:
         print(line(1.0, "reset", flow=FLOW, outcome="no route"), file=file)
-    [cause] = causes_of(lines_of([path]))
+    [cause] = causes_of(read_lines([path]))
     assert cause.flow == FLOW
