--- a/notchhoist/base/__init__.py
+++ b/notchhoist/base/__init__.py
@@ -1,9 +1,11 @@
-"""What even the smallest process needs: addresses, errors, ranking.
+"""Modules that every process needs: addresses, errors, sockets, hashing.
 
-Nothing is imported here, so that a daemon that must be listening within a
-fraction of a second loads only the modules it names. From the top down:
+This package imports nothing itself: a daemon must be listening within a
+fraction of a second and loads only the modules that it names. They are:
 
 * ``identifiers``: endpoints and flow keys.
-* ``errors``: the typed failures.
-* ``rendezvous``: ranking that every process computes alike.
+* ``errors``: exception types of the system.
+* ``rendezvous``: rendezvous hashing, with the same result in every process.
+* ``draws``: fast pseudorandom numbers.
+* ``datagrams``: non-blocking UDP sockets.
 """
--- a/notchhoist/base/datagrams.py
+++ b/notchhoist/base/datagrams.py
@@ -1,33 +1,38 @@
-"""UDP sockets that are read in batches and never raise for the network."""
+"""Non-blocking UDP sockets, read in batches; network errors do not raise."""
 
 import socket
 
-BATCH = 64
-"""Datagrams read before others get their turn."""
+BATCH_DATAGRAMS = 64
+"""Datagrams read from a socket before the next socket gets its turn."""
 
 RECEIVE_BYTES = 65_535
-BUFFER_BYTES = 1 << 20
-"""Asked of the kernel for what waits, bytes: a quarter of a second at the
-25 Mbit/s of small packets that a busy host sees."""
+RECEIVE_BUFFER_BYTES = 1 << 20
+"""Size of the kernel's receive buffer that is requested, bytes.
+
+It holds a quarter of a second of small packets at 25 Mbit/s, the rate on a
+busy host.
+"""
 
 
 def open_socket(
     local: tuple[str, int], peer: tuple[str, int] | None = None
 ) -> socket.socket:
-    """Opens a UDP socket that does not block.
+    """Opens a non-blocking UDP socket.
 
     Args:
-        local: Where to bind; port 0 lets the kernel choose.
-        peer: Where to connect to, or None.
+        local: Address to bind to; with port 0 the kernel chooses a port.
+        peer: Address to connect to, or None for an unconnected socket.
 
     Raises:
-        OSError: The address cannot be bound.
+        OSError: The socket cannot be bound or connected.
     """
     family = socket.AF_INET6 if ":" in local[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
+        sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
+        )
         sock.bind(local)
         if peer is not None:
             sock.connect(peer)
@@ -38,13 +43,14 @@
 
 
 def receive_batch(sock: socket.socket) -> list[tuple[bytes, tuple[str, int]]]:
-    """Returns what waits at a socket with its senders, at most a batch."""
+    """Returns datagrams that have arrived with their senders, up to a batch."""
     received: list[tuple[bytes, tuple[str, int]]] = []
-    while len(received) < BATCH:
+    while len(received) < BATCH_DATAGRAMS:
         try:
             data, sender = sock.recvfrom(RECEIVE_BYTES)
         except ConnectionError:
-            # An earlier datagram found nobody; the next one may.
+            # ICMP error of an earlier datagram: no socket listened at its
+            # destination. Later datagrams can still be read.
             continue
         except OSError:
             break
@@ -55,10 +61,10 @@
 def send(
     sock: socket.socket, datagram: bytes, to: tuple[str, int] | None = None
 ) -> bool:
-    """Sends a datagram; what the kernel refuses is lost, as on a wire.
+    """Sends a datagram; one that the kernel refuses is lost.
 
     Returns:
-        Whether the kernel took it, for the sender to count.
+        Whether the kernel accepted it, so that the sender can count losses.
     """
     try:
         if to is None:
--- a/notchhoist/base/draws.py
+++ b/notchhoist/base/draws.py
@@ -1,21 +1,24 @@
-"""Draws for ties and jitter, where nothing depends on their quality.
+"""Pseudorandom numbers for ties and jitter, where quality does not matter.
 
-``random`` takes a tenth of the time in which a process must be listening.
+Importing ``random`` would take a tenth of the time within which a process must
+be listening.
 """
 
 import zlib
 from collections.abc import Callable
 
 Draw = Callable[[], float]
-"""Returns numbers in [0, 1)."""
+"""Returns a pseudorandom number in [0, 1) at each call."""
 
-FIRST_NUMBERS = 1 << 30
-"""Where the numbers of a process's questions may begin; they are sent in 32
-bits, and a billion questions more fit in."""
+FIRST_NUMBER_BOUND = 1 << 30
+"""Bound of the first number of a process's queries.
+
+Numbers are sent in 32 bits, so a billion queries can still follow.
+"""
 
 
 def make_draw(seed: str) -> Draw:
-    """Returns a source of draws that follows from a seed.
+    """Returns a pseudorandom generator that depends on a seed only.
 
     Examples:
         >>> draw, same = make_draw("host-1"), make_draw("host-1")
@@ -34,14 +37,14 @@
 
 
 def first_number(draw: Draw) -> int:
-    """Returns where a process begins to number its questions.
+    """Returns the number of a process's first query.
 
-    Processes start again on the same host, and answers to their former life
-    still arrive: numbered from 1 in each life, they were taken for answers to
-    the new questions with the same numbers.
+    After a restart on the same host, replies to queries of the previous
+    incarnation still arrive. If every incarnation numbered its queries from 1,
+    they would be taken for replies to new queries with the same numbers.
 
     Examples:
-        >>> 0 <= first_number(make_draw("life 1")) < FIRST_NUMBERS
+        >>> 0 <= first_number(make_draw("life 1")) < FIRST_NUMBER_BOUND
         True
     """
-    return int(draw() * FIRST_NUMBERS)
+    return int(draw() * FIRST_NUMBER_BOUND)
--- a/notchhoist/base/errors.py
+++ b/notchhoist/base/errors.py
@@ -1,7 +1,7 @@
-"""Typed errors: every failure of the system has one of these types.
+"""Exception types of the system; every failure has one of them.
 
-Plain classes: small processes load them before anything else, and a class
-generator would cost them more than all errors together.
+They are plain classes: small processes load them first, and generating classes
+with a library would take longer than loading all of this module.
 """
 
 
@@ -10,11 +10,11 @@
 
 
 class CodecError(NotchhoistError):
-    """Bytes that do not decode.
+    """Raised for bytes that cannot be decoded.
 
     Attributes:
         codec: Name of the codec, such as ``coap`` or ``thrift``.
-        reason: What the codec's library said.
+        reason: Error text, mostly from the codec's library.
     """
 
     def __init__(self, codec: str, reason: str) -> None:
@@ -23,12 +23,12 @@
         self.reason = reason
 
     def __str__(self) -> str:
-        """Returns one line for people."""
+        """Returns a message of one line."""
         return f"{self.codec}: {self.reason}"
 
 
 class MisdirectedError(NotchhoistError):
-    """A message for another service than the receiver's.
+    """Raised for a message that is addressed to another service.
 
     Attributes:
         expected: Service of the receiver.
@@ -41,17 +41,17 @@
         self.got = got
 
     def __str__(self) -> str:
-        """Returns one line for people."""
-        return f"message for service {self.got!r} at {self.expected!r}"
+        """Returns a message of one line."""
+        return f"message for service {self.got!r} at service {self.expected!r}"
 
 
 class ConfigurationProblem:
-    """One thing that is wrong in a document or a settings file.
+    """A single error in a published document or a settings file.
 
     Attributes:
         place: Path to the field, such as ``services[0].servers[2].slots``.
-        expected: What would have been accepted there.
-        got: What stood there, shortened.
+        expected: Description of the accepted values.
+        got: The value found there, shortened.
     """
 
     __slots__ = ("expected", "got", "place")
@@ -76,16 +76,16 @@
         return f"ConfigurationProblem{self._key()}"
 
     def __str__(self) -> str:
-        """Returns one line for people."""
+        """Returns a message of one line."""
         return f"{self.place}: expected {self.expected}, got {self.got}"
 
 
 class ConfigurationRefusedError(NotchhoistError):
-    """A published document that is not put in force.
+    """Raised for a published document that is invalid and not applied.
 
     Attributes:
-        revision: The document's revision, or -1 where it has none.
-        problems: Everything that is wrong with it.
+        revision: The document's revision, or -1 if it has none.
+        problems: Every error in the document.
     """
 
     def __init__(
@@ -96,16 +96,16 @@
         self.problems = problems
 
     def __str__(self) -> str:
-        """Returns one line for people."""
+        """Returns a message of one line."""
         return "; ".join(str(problem) for problem in self.problems)
 
 
 class SettingsRefusedError(NotchhoistError):
-    """A settings file that a process does not start from.
+    """Raised for an invalid settings file; the process does not start.
 
     Attributes:
-        path: Name of the file.
-        problems: Everything that is wrong with it.
+        path: Path of the file.
+        problems: Every error in the file.
     """
 
     def __init__(
@@ -116,16 +116,16 @@
         self.problems = problems
 
     def __str__(self) -> str:
-        """Returns a line for each problem."""
+        """Returns a message with one line for each problem."""
         return "\n".join(f"{self.path}: {item}" for item in self.problems)
 
 
 class PlatformError(NotchhoistError):
-    """The platform's service did not give a usable answer.
+    """Raised if the platform's service gives no usable response.
 
     Attributes:
-        operation: Which read failed.
-        reason: Why, from the HTTP client.
+        operation: Name of the read that failed.
+        reason: Error text, such as that of the HTTP client.
     """
 
     def __init__(self, operation: str, reason: str) -> None:
@@ -134,17 +134,17 @@
         self.reason = reason
 
     def __str__(self) -> str:
-        """Returns one line for people."""
+        """Returns a message of one line."""
         return f"platform {self.operation}: {self.reason}"
 
 
 class StatementError(NotchhoistError):
-    """A statement of the command language that cannot be carried out.
+    """Raised for a statement of the command language that cannot be executed.
 
     Attributes:
-        column: Where, counted from 1; 0 where no place applies.
-        expected: What would have been accepted there.
-        got: What stood there.
+        column: Column of the error, from 1; 0 if it has no position.
+        expected: Description of the accepted input.
+        got: The input found there.
     """
 
     def __init__(self, column: int, expected: str, got: str) -> None:
@@ -154,5 +154,5 @@
         self.got = got
 
     def __str__(self) -> str:
-        """Returns one line for people."""
+        """Returns a message of one line."""
         return f"column {self.column}: expected {self.expected}, got {self.got}"
--- a/notchhoist/base/identifiers.py
+++ b/notchhoist/base/identifiers.py
@@ -7,14 +7,14 @@
 
 @attrs.frozen(slots=True, order=True)
 class Endpoint:
-    """An IP number and a port.
+    """An IP address and a port.
 
     Examples:
         >>> str(Endpoint("127.0.0.1", 5683))
         '127.0.0.1:5683'
 
     Attributes:
-        host: IP number in its usual text form.
+        host: IP address in its usual text form.
         port: UDP or TCP port, 0 to 65535.
     """
 
@@ -28,7 +28,7 @@
 
 @attrs.frozen(slots=True)
 class FlowKey:
-    """What names a flow: the service and the caller's endpoint.
+    """Identifies a flow by its service and the caller's endpoint.
 
     Attributes:
         service: Name of the service.
@@ -40,24 +40,24 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Reads ``host:port``.
+    """Parses ``host:port``.
 
     Examples:
         >>> parse_endpoint("10.0.0.7:5683")
         Endpoint(host='10.0.0.7', port=5683)
 
     Args:
-        text: An IP number, a colon and a port.
+        text: An IP address, a colon and a port.
 
     Returns:
         The endpoint.
 
     Raises:
-        ValueError: The text has another form.
+        ValueError: The text has another form, or the port is too large.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal():
         raise ValueError(f"expected host:port, got {text!r}")
     if int(port) > MAX_PORT:
-        raise ValueError(f"expected a port up to {MAX_PORT}, got {port}")
+        raise ValueError(f"expected a port of at most {MAX_PORT}, got {port}")
     return Endpoint(host, int(port))
--- a/notchhoist/base/rendezvous.py
+++ b/notchhoist/base/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every process ranks the same nodes the same way."""
+"""Rendezvous hashing, by which every process ranks nodes in the same order."""
 
 import functools
 from collections.abc import Sequence
@@ -9,14 +9,14 @@
 
 
 @functools.lru_cache(maxsize=1 << 16)
-def _seed(node: Endpoint) -> int:
+def _node_seed(node: Endpoint) -> int:
     return xxhash.xxh64_intdigest(str(node).encode())
 
 
 def rank_nodes(key: bytes, nodes: Sequence[Endpoint]) -> list[Endpoint]:
     """Orders nodes by their score for a key, best first.
 
-    When a node leaves, only the keys that it ranked first for get another
+    If a node is removed, only the keys for which it ranked first get another
     first node. Ties are broken by the endpoint.
 
     Examples:
@@ -30,8 +30,8 @@
         True
 
     Args:
-        key: What is placed.
-        nodes: Candidates, in any order.
+        key: Bytes that identify the flow or other item to place.
+        nodes: Candidate nodes, in any order.
 
     Returns:
         The same nodes, best first.
@@ -43,12 +43,12 @@
     return sorted(
         nodes,
         key=lambda node: (
-            -xxhash.xxh3_64_intdigest(key, _seed(node)),
+            -xxhash.xxh3_64_intdigest(key, _node_seed(node)),
             node,
         ),
     )
 
 
 def flow_hash_key(caller: Endpoint) -> bytes:
-    """Returns the bytes that a caller's flow is ranked by."""
+    """Returns the key by which nodes are ranked for a caller's flow."""
     return str(caller).encode()
