--- a/notchhoist/links/__init__.py
+++ b/notchhoist/links/__init__.py
@@ -1,13 +1,13 @@
-"""Scheduling of what leaves a host, by what its link carries.
+"""Egress scheduling of a host's datagrams by the bandwidth of its link.
 
-A link drops what does not fit, and nobody tells the sender. On a narrow one a
-process therefore lets no more leave than the link carries, keeps the rest in
-order, and chooses itself what to drop. Nothing here does I/O or reads a clock.
-From the top down, each module imports only those above it:
+A link drops datagrams beyond its capacity without telling the sender. On a
+low-bandwidth link a process therefore paces what it sends, queues the rest and
+chooses itself which datagrams to drop. Nothing here does I/O or reads a clock.
+The modules, of which each imports only those above it:
 
-* ``packets``: a datagram that is to leave, with what its place depends on.
-* ``backlogs``: orders in which datagrams leave, and what is dropped.
-* ``scheduler``: how many may leave now, and when to look again.
+* ``packets``: an outgoing datagram with the fields that scheduling needs.
+* ``backlogs``: queueing disciplines: order of sending, choice of drops.
+* ``scheduler``: pacing: how much may be sent now, and when to check again.
 
 Modules are imported by name; see ``notchhoist.base`` for the reason.
 """
--- a/notchhoist/links/backlogs.py
+++ b/notchhoist/links/backlogs.py
@@ -1,4 +1,4 @@
-"""Orders in which datagrams leave, and what is dropped."""
+"""Queueing disciplines for datagrams that wait for a link."""
 
 from collections import OrderedDict, deque
 from typing import Protocol
@@ -9,23 +9,28 @@
 
 
 class Backlog(Protocol):
-    """Datagrams that wait for a link."""
+    """Queue of datagrams that wait for a link."""
 
     def put(self, packet: Outgoing) -> None:
-        """Takes a datagram in."""
+        """Queues a datagram."""
 
     def next_size(self) -> int:
-        """Returns the size of what leaves next, bytes; 0 if nothing waits."""
+        """Returns the size of the next datagram, bytes; 0 if there is none."""
 
     def take(self) -> Outgoing:
-        """Removes and returns what leaves next; something must wait."""
+        """Removes and returns the next datagram; there must be one."""
 
     def drop(self) -> Outgoing:
-        """Removes and returns what is missed least; something must wait."""
+        """Removes and returns the datagram whose loss costs least.
+
+        The queue must not be empty.
+        """
 
 
 class FifoBacklog(Struct, eq=False):
-    """First in, first out; small ones pass, the newest large one is dropped.
+    """First in, first out, with priority for small datagrams.
+
+    The newest large datagram is dropped first.
 
     Examples:
         >>> backlog = FifoBacklog()
@@ -35,8 +40,8 @@
         [40, 1200, 1200]
 
     Attributes:
-        small: Small datagrams.
-        large: The others.
+        small: Small datagrams, oldest first.
+        large: Larger datagrams, oldest first.
     """
 
     small: deque[Outgoing] = field(default_factory=deque)
@@ -61,14 +66,15 @@
 
 
 class FairBacklog(Struct, eq=False):
-    """Callers' large datagrams leave in turn by flow; others pass them.
+    """Round-robin between flows, with priority for small and control datagrams.
 
-    Small ones go first, then what belongs to no flow: parts of a view, which
-    must be in force in time. While these took turns with the flows, a view of
-    40 parts behind eight full uploads was through a link of 5 Mbit/s after
-    0.76 s; it is after 0.08 s. All large datagrams are of nearly the same size,
-    so one a turn shares the link as fairly as counting bytes would. The newest
-    of the flow that has the most waiting is dropped.
+    Small datagrams go first, then large ones that belong to no flow: parts of a
+    view, which has to be in force by its propagation deadline. If control
+    datagrams took part in the round-robin, a view of 40 parts behind eight full
+    uploads would need 0.76 s on a link of 5 Mbit/s, instead of 0.08 s. Large
+    datagrams have nearly the same size, so one datagram per turn shares the
+    link as fairly as counting bytes would. The newest datagram of the flow with
+    the longest queue is dropped first.
 
     Examples:
         >>> backlog = FairBacklog()
@@ -82,9 +88,9 @@
         round-robin", 1996.
 
     Attributes:
-        small: Small datagrams, first in, first out.
-        control: Large ones that belong to no flow, likewise.
-        by_flow: The others by flow, the flow whose turn it is first.
+        small: Small datagrams, oldest first.
+        control: Large datagrams that belong to no flow, oldest first.
+        by_flow: Other large datagrams by flow, in the order of turns.
     """
 
     small: deque[Outgoing] = field(default_factory=deque)
--- a/notchhoist/links/packets.py
+++ b/notchhoist/links/packets.py
@@ -1,28 +1,31 @@
-"""A datagram that is to leave a host."""
+"""An outgoing datagram, with the fields that scheduling needs."""
 
 from msgspec import Struct
 
 HEADERS_BYTES = 28
-"""IPv4 and UDP headers that a link carries beside each datagram, bytes."""
+"""Size of the IPv4 and UDP headers of each datagram, bytes."""
 
 SMALL_BYTES = 200
-"""Up to this size a datagram is let past larger ones, bytes: openings, resets,
-questions and answers of ours are 32 to 150 bytes, a request about 100."""
+"""Largest datagram that is sent ahead of larger ones, bytes.
+
+Opening packets, resets, queries and replies have 32 to 150 bytes, a caller's
+request about 100.
+"""
 
 Address = tuple[str, int]
-"""IP number and port, as sockets take them."""
+"""IP address and port, as sockets take them."""
 
 
 class Outgoing(Struct, frozen=True):
-    """A datagram that is to leave.
+    """A datagram to send.
 
     Attributes:
-        port: Which of the process's sockets it leaves through.
-        datagram: Its bytes.
-        to: Where it goes.
+        port: Index of the process's socket that sends it.
+        datagram: Bytes of the datagram.
+        to: Address that it is sent to.
         flow: Key of its flow; empty for control messages.
-        seq: Its number in the flow; a copy has the same one.
-        since: When it was to leave, seconds.
+        seq: Sequence number in the flow; retransmissions have the same one.
+        since: Time at which it was ready to be sent, seconds.
     """
 
     port: int
@@ -34,22 +37,22 @@
 
     @property
     def size(self) -> int:
-        """What it takes of the link, bytes."""
+        """Size on the link with headers, bytes."""
         return len(self.datagram) + HEADERS_BYTES
 
     @property
     def is_small(self) -> bool:
-        """Whether it may pass larger ones."""
+        """Whether it is sent ahead of larger datagrams."""
         return len(self.datagram) <= SMALL_BYTES
 
     @property
     def is_control(self) -> bool:
-        """Whether it belongs to no caller's flow."""
+        """Whether it belongs to no flow of a caller."""
         return not self.flow
 
     @property
     def copy_key(self) -> tuple[Address, bytes, int, int] | None:
-        """What it shares with its copies, or None where it has none."""
+        """Key that retransmissions share; None for control messages."""
         if not self.flow:
             return None
         return (self.to, self.flow, self.seq, len(self.datagram))
--- a/notchhoist/links/scheduler.py
+++ b/notchhoist/links/scheduler.py
@@ -1,9 +1,9 @@
-"""Lets no more datagrams leave than a link carries.
+"""Paces outgoing datagrams to the bandwidth of a link.
 
-The load it answers: a caller sends an upload as 16 datagrams of 1.2 KB within
-20 ms, a balancer passes them on at once, and a link of 2 Mbit/s carries one in
-5 ms. About 12 fit into the link's own queue; the rest was lost, 29% of what
-balancers sent, and came again after 0.2 to 1.6 s.
+A caller sends an upload as 16 datagrams of 1.2 KB within 20 ms, and a link of
+2 Mbit/s carries one in 5 ms. If a balancer forwards them at once, about 12 fit
+into the queue of the link and the rest is lost: 29% of what balancers send,
+retransmitted after 0.2 to 1.6 s.
 """
 
 from collections import Counter
@@ -13,33 +13,42 @@
 from notchhoist.links.backlogs import Backlog, FairBacklog
 from notchhoist.links.packets import Address, Outgoing
 
-SHARE = 0.95
-"""Share of the link that datagrams may take; the rest is left to the calls to
-the platform and to headers that are not counted."""
+BANDWIDTH_SHARE = 0.95
+"""Share of the bandwidth for datagrams.
+
+The rest is for requests to the platform and for headers that are not counted.
+"""
 
 AHEAD_S = 0.02
-"""How much may wait in the link's own queue, seconds: a third of the 60 ms that
-one of 2 Mbit/s was seen to hold, four times the least time between looks."""
+"""Longest queue of the link itself, seconds.
+
+It is a third of the 60 ms that the queue of a link of 2 Mbit/s holds, and four
+times the shortest interval between checks.
+"""
 
 BACKLOG_S = 1.0
-"""How much may wait here, seconds of the link. Callers send a copy of what is
-not acknowledged after 0.2 s, doubled up to 1.6 s; what would wait for longer
-would arrive beside its copies."""
+"""Largest backlog, seconds of the link.
+
+Callers retransmit unacknowledged datagrams after 0.2 s, doubled up to 1.6 s. A
+datagram that waits for longer would arrive together with its retransmissions.
+"""
 
 BYTES_A_MBPS_S = 125_000
 
 
 class LinkScheduler(Struct, eq=False):
-    """Decides what leaves now; see ``make_scheduler``.
+    """Decides which datagrams are sent now; see ``make_scheduler``.
 
     Attributes:
-        rate: What may leave, bytes a second; 0 for all of it.
-        backlog: What waits, in its order.
-        waiting: Bytes that wait.
-        keys: Copies of these are not taken in again.
-        free_at: When all that has left is through the link, seconds.
-        drops: Datagrams that were dropped.
-        copies: Copies that were not taken in, as the first one still waits.
+        rate: Rate limit, bytes per second; 0 for no limit.
+        backlog: Queue of the waiting datagrams.
+        waiting: Size of the backlog, bytes.
+        keys: Number of waiting datagrams by key; their retransmissions are
+            discarded.
+        free_at: Time when the link has carried all that was sent, seconds.
+        drops: Number of datagrams dropped from the backlog.
+        copies: Number of retransmissions discarded because an earlier
+            transmission was still waiting.
     """
 
     rate: float
@@ -53,11 +62,11 @@
     copies: int = 0
 
     def offer(self, packet: Outgoing, now: float) -> Outgoing | None:
-        """Takes a datagram; returns it where it may leave at once."""
+        """Returns a datagram that may be sent at once, or queues it."""
         if not self.rate:
             return packet
         if not self.waiting and self.free_at - now <= AHEAD_S:
-            self._note_left(packet, now)
+            self._record_sent(packet, now)
             return packet
         key = packet.copy_key
         if key is not None and self.keys[key]:
@@ -68,28 +77,28 @@
         if key is not None:
             self.keys[key] += 1
         while self.waiting > self.rate * BACKLOG_S:
-            self._forget(self.backlog.drop())
+            self._release(self.backlog.drop())
             self.drops += 1
         return None
 
     def take(self, now: float) -> list[Outgoing]:
-        """Returns what may leave now, in order."""
+        """Returns the waiting datagrams that may be sent now, in order."""
         leaving = []
         while self.waiting and self.free_at - now <= AHEAD_S:
             packet = self.backlog.take()
-            self._forget(packet)
-            self._note_left(packet, now)
+            self._release(packet)
+            self._record_sent(packet, now)
             leaving.append(packet)
         return leaving
 
     def due(self) -> float:
-        """Returns when ``take`` is next needed, seconds."""
+        """Returns when to call ``take`` next, seconds; may be infinite."""
         return self.free_at - AHEAD_S if self.waiting else float("inf")
 
-    def _note_left(self, packet: Outgoing, now: float) -> None:
+    def _record_sent(self, packet: Outgoing, now: float) -> None:
         self.free_at = max(self.free_at, now) + packet.size / self.rate
 
-    def _forget(self, packet: Outgoing) -> None:
+    def _release(self, packet: Outgoing) -> None:
         self.waiting -= packet.size
         key = packet.copy_key
         if key is None:
@@ -102,14 +111,15 @@
 def make_scheduler(
     link_mbps: float, backlog: Backlog | None = None
 ) -> LinkScheduler:
-    """Makes the scheduler of a link.
+    """Creates the scheduler of a link.
 
     Args:
-        link_mbps: What the link carries, Mbit/s; 0 if unknown: not paced.
-        backlog: The order in which datagrams wait. Fair by flow by default:
-            where links of 1.5 Mbit/s carry uploads, requests of 900 bytes do
-            not wait behind them (worth 0.988 against 0.913 first in first out,
-            means of three runs of the stand-in; 0.998 and 0.993 at 2 Mbit/s).
+        link_mbps: Bandwidth of the link, Mbit/s; 0 if unknown: no pacing.
+        backlog: Queueing discipline, by default fair between flows, so that
+            requests of 900 bytes do not wait behind uploads. On links of
+            1.5 Mbit/s that carry uploads, the simulation earns 0.988 of the
+            possible credit, and 0.913 with first in, first out (means of three
+            runs); at 2 Mbit/s, 0.998 and 0.993.
     """
-    rate = link_mbps * BYTES_A_MBPS_S * SHARE
+    rate = link_mbps * BYTES_A_MBPS_S * BANDWIDTH_SHARE
     return LinkScheduler(rate, backlog or FairBacklog())
--- a/notchhoist/links/tests/test_scheduler.py
+++ b/notchhoist/links/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""What leaves a host: no more than its link carries, the small first."""
+"""Egress scheduling: pacing, and priority for small datagrams."""
 
 import pytest
 from hypothesis import given
@@ -15,9 +15,9 @@
 MBPS = 2.0
 RATE = MBPS * 125_000
 UPLOAD = 16
-"""Datagrams that a caller sends within 20 ms."""
-LINK_HOLDS_S = 0.06
-"""What a link's own queue holds, seconds."""
+"""Datagrams of an upload, which a caller sends within 20 ms."""
+LINK_QUEUE_S = 0.06
+"""Capacity of the queue of a link, seconds."""
 STEP_S = 0.005
 BACKLOGS = (FifoBacklog, FairBacklog)
 
@@ -27,7 +27,7 @@
 
 
 class Link:
-    """A link with a queue of its own, which drops what does not fit."""
+    """A link with a bounded queue, which drops datagrams beyond it."""
 
     def __init__(self, mbps=MBPS):
         self.rate = mbps * 125_000
@@ -36,21 +36,21 @@
         self.arrived = []
 
     def carry(self, item, now):
-        if self.free_at - now > LINK_HOLDS_S:
+        if self.free_at - now > LINK_QUEUE_S:
             self.lost += 1
             return
         self.free_at = max(self.free_at, now) + item.size / self.rate
         self.arrived.append((self.free_at, item))
 
 
-def play(scheduler, offers, until):
-    """Offers (time, packet) in order; returns the link behind."""
+def simulate(scheduler, arrivals, until):
+    """Offers (time, packet) pairs in order; returns the receiving link."""
     link = Link()
-    offers = list(offers)
+    arrivals = list(arrivals)
     now = 0.0
     while now < until:
-        while offers and offers[0][0] <= now:
-            _, item = offers.pop(0)
+        while arrivals and arrivals[0][0] <= now:
+            _, item = arrivals.pop(0)
             leaving = scheduler.offer(item, now)
             if leaving is not None:
                 link.carry(leaving, now)
@@ -68,27 +68,29 @@
 
 
 @pytest.mark.parametrize("backlog", BACKLOGS)
-def test_an_upload_passes_a_narrow_link_whole(backlog):
-    """Sent on at once, 29% of what balancers forwarded was lost there."""
-    unpaced = play(make_scheduler(0), upload(b"a", 0.0), 1.0)
-    paced = play(make_scheduler(MBPS, backlog()), upload(b"a", 0.0), 1.0)
+def test_an_upload_passes_a_low_bandwidth_link_without_loss(backlog):
+    """Without pacing, the link loses 29% of what balancers forward."""
+    unpaced = simulate(make_scheduler(0), upload(b"a", 0.0), 1.0)
+    paced = simulate(make_scheduler(MBPS, backlog()), upload(b"a", 0.0), 1.0)
     assert unpaced.lost > 0
     assert (paced.lost, len(paced.arrived)) == (0, UPLOAD)
 
 
 @pytest.mark.parametrize("backlog", BACKLOGS)
 def test_small_datagrams_do_not_wait_behind_uploads(backlog):
-    offers = [*upload(b"a", 0.0), (0.03, packet(40, seq=99))]
-    link = play(make_scheduler(MBPS, backlog()), offers, 1.0)
+    arrivals = [*upload(b"a", 0.0), (0.03, packet(40, seq=99))]
+    link = simulate(make_scheduler(MBPS, backlog()), arrivals, 1.0)
     [at] = [at for at, item in link.arrived if item.seq == 99]
     assert at < 0.03 + AHEAD_S + 2 * STEP_S
 
 
 def test_a_short_upload_does_not_wait_for_a_long_one():
-    offers = upload(b"a", 0.0) + upload(b"a", 0.01) + upload(b"b", 0.02)[:2]
+    arrivals = upload(b"a", 0.0) + upload(b"a", 0.01) + upload(b"b", 0.02)[:2]
     ends = {}
     for backlog in BACKLOGS:
-        link = play(make_scheduler(MBPS, backlog()), sorted(offers, key=at), 1)
+        link = simulate(
+            make_scheduler(MBPS, backlog()), sorted(arrivals, key=at), 1
+        )
         ends[backlog] = max(t for t, item in link.arrived if item.flow == b"b")
     assert ends[FairBacklog] < 0.6 * ends[FifoBacklog]
 
@@ -97,16 +99,16 @@
     return offer[0]
 
 
-def test_a_copy_of_what_still_waits_is_not_sent_twice():
+def test_a_retransmission_of_a_waiting_datagram_is_discarded():
     scheduler = make_scheduler(MBPS, FairBacklog())
-    offers = upload(b"a", 0.0) + upload(b"a", 0.03)
-    link = play(scheduler, sorted(offers, key=at), 1.0)
+    arrivals = upload(b"a", 0.0) + upload(b"a", 0.03)
+    link = simulate(scheduler, sorted(arrivals, key=at), 1.0)
     assert scheduler.copies > 0
     sent = len(link.arrived)
     assert sent == 2 * UPLOAD - scheduler.copies
 
 
-def test_a_wide_link_changes_nothing():
+def test_a_high_bandwidth_link_delays_nothing():
     scheduler = make_scheduler(1000)
     for number in range(200):
         assert scheduler.offer(packet(seq=number), 0.0) is not None
@@ -161,8 +163,8 @@
             assert total <= room + 1260 + 1
 
 
-def test_parts_of_a_view_pass_full_uploads_and_are_not_dropped():
-    """They took turns with the uploads, and the last left after 0.4 s."""
+def test_parts_of_a_view_overtake_full_uploads_and_are_not_dropped():
+    """In a round-robin with the uploads, the last part leaves after 0.4 s."""
     scheduler = make_scheduler(5.0)
     for number in range(600):
         scheduler.offer(packet(1232, bytes([number % 8]), number), 0.0)
