--- a/notchhoist/wire/__init__.py
+++ b/notchhoist/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Codecs: Thrift between our own processes, CoAP towards callers."""
+"""Codecs: Thrift between processes of the system, CoAP to callers."""
 
 from notchhoist.wire.coap import (
     MAX_DATAGRAM_BYTES,
--- a/notchhoist/wire/coap.py
+++ b/notchhoist/wire/coap.py
@@ -1,7 +1,7 @@
-"""CoAP by aiocoap's codec, without its sockets.
+"""CoAP messages, encoded and decoded by aiocoap without its sockets.
 
-aiocoap reads and writes the messages of RFC 7252; this module adapts them to
-what the controllers need and turns every failure into ``CodecError``.
+This module adapts the messages of RFC 7252 to the needs of the controllers and
+converts every decoding failure to ``CodecError``.
 """
 
 import enum
@@ -16,10 +16,13 @@
 from notchhoist import model
 
 MAX_DATAGRAM_BYTES = 1280
-"""Longest caller datagram that is taken, bytes (RFC 7252, 4.6)."""
+"""Longest datagram accepted from a caller, bytes (RFC 7252, 4.6)."""
 
 DEADLINE_OPTION = 65020
-"""Elective, safe to forward, no part of the cache key: milliseconds left."""
+"""Number of the option with the time left for a request, milliseconds.
+
+The option is elective, safe to forward and not part of the cache key.
+"""
 
 _METHODS = frozenset(
     ["GET", "POST", "PUT", "DELETE", "FETCH", "PATCH", "IPATCH"]
@@ -27,7 +30,7 @@
 
 
 class Refusal(enum.Enum):
-    """How a request that is given up on is answered."""
+    """Kind of the error response to a request that is not completed."""
 
     NOT_RUN = "not run"
     BUSY = "busy"
@@ -48,7 +51,7 @@
     """A decoded CoAP message.
 
     Attributes:
-        raw: aiocoap's own object; treat it as read-only.
+        raw: Message of aiocoap; must not be modified.
     """
 
     raw: Message
@@ -70,7 +73,7 @@
 
     @property
     def is_request(self) -> bool:
-        """True for a request whose method is known."""
+        """True for a request with a known method."""
         return self.raw.code.is_request() and self.method in _METHODS
 
     @property
@@ -80,7 +83,7 @@
 
     @property
     def is_confirmable(self) -> bool:
-        """True for a message that the other side has to acknowledge."""
+        """True for a message that the receiver has to acknowledge."""
         return self.raw.mtype is Type.CON
 
     @property
@@ -100,12 +103,12 @@
 
     @property
     def path(self) -> tuple[str, ...]:
-        """Segments of the path."""
+        """Segments of the Uri-Path."""
         return self.raw.opt.uri_path
 
     @property
     def payload(self) -> bytes:
-        """The payload."""
+        """Payload, empty if there is none."""
         return self.raw.payload
 
     @property
@@ -120,13 +123,13 @@
 
     @property
     def request_tag(self) -> bytes | None:
-        """The caller's own identity of the request (RFC 9175), or None."""
+        """Request-Tag that the caller chose (RFC 9175), or None."""
         tags = self.raw.opt.request_tag
         return bytes(tags[0]) if tags else None
 
     @property
     def block1(self) -> tuple[int, bool] | None:
-        """Number and more-flag of the Block1 option, or None."""
+        """Block number and more flag of the Block1 option, or None."""
         block = self.raw.opt.block1
         return (block.block_number, block.more) if block else None
 
@@ -145,10 +148,10 @@
         The message.
 
     Raises:
-        CodecError: The bytes are no CoAP message, or too many.
+        CodecError: The datagram is not a CoAP message, or too long.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise model.CodecError("coap", f"{len(data)} bytes in one datagram")
+        raise model.CodecError("coap", f"datagram of {len(data)} bytes")
     try:
         return CoapMessage(Message.decode(data))
     except Exception as error:  # The library raises many unrelated types.
@@ -160,7 +163,7 @@
     """Encodes a CoAP message.
 
     Args:
-        message: A message with type, message ID and token.
+        message: Message with type, message ID and token.
 
     Returns:
         The datagram.
@@ -185,16 +188,16 @@
 
 
 def reset_for(mid: int) -> bytes:
-    """Returns a reset that answers a message ID."""
+    """Returns a reset in reply to a message ID."""
     return _header(Code.EMPTY, Type.RST, mid).encode()
 
 
 def readdressed(response: CoapMessage, request: CoapMessage) -> bytes:
-    """Writes a response so that it answers a given request.
+    """Encodes a response with the message ID and token of a given request.
 
     Args:
-        response: The response of a backend server to any copy.
-        request: The request that the caller sent.
+        response: Response of a backend server to any transmission.
+        request: Request that the caller sent.
 
     Returns:
         The datagram for the caller.
@@ -216,13 +219,13 @@
     reason: str,
     retry_after_s: int,
 ) -> bytes:
-    """Writes the final answer to a request that is given up on.
+    """Encodes the error response to a request that is not completed.
 
     Args:
         request: The caller's request.
-        kind: Which kind of answer.
+        kind: Kind of the error response.
         reason: Short name of the cause.
-        retry_after_s: When the caller may come back, seconds.
+        retry_after_s: Time after which the caller may retry, seconds.
 
     Returns:
         The datagram for the caller, with Max-Age.
@@ -234,7 +237,7 @@
 
 
 def with_deadline(request: CoapMessage, remaining_s: float) -> bytes:
-    """Writes a request with the time that is left for it.
+    """Encodes a request with the time left for it as an option.
 
     Args:
         request: The caller's request.
@@ -258,17 +261,17 @@
 
 
 def deadline_of(request: CoapMessage) -> float | None:
-    """Returns the time that an agent left for a request, seconds, or None."""
+    """Returns the time left by the deadline option, seconds, or None."""
     for option in request.raw.opt.get_option(OptionNumber(DEADLINE_OPTION)):
         return int.from_bytes(option.encode(), "big") / 1000
     return None
 
 
 def is_observe_registration(request: CoapMessage) -> bool:
-    """Tells whether a request opens a stream (RFC 7641)."""
+    """Returns whether a request registers an observer (RFC 7641)."""
     return request.method in ("GET", "FETCH") and request.observe == 0
 
 
 def is_block_continuation(request: CoapMessage) -> bool:
-    """Tells whether a request carries a later block of an upload."""
+    """Returns whether a request carries a later block of an upload."""
     return request.block1 is not None and request.block1[0] > 0
--- a/notchhoist/wire/peer.py
+++ b/notchhoist/wire/peer.py
@@ -1,8 +1,8 @@
-"""Thrift compact encoding of the messages between our own processes.
+"""Thrift compact encoding of the messages between processes of the system.
 
-The generated structs stay inside this module; everything else works on the
-attrs classes of ``notchhoist.model``. A class and its struct share a name, and
-their fields pair by position.
+Only this module uses the generated structs; all other code uses the attrs
+classes of ``notchhoist.model``. A class and its struct have the same name, and
+their fields correspond by position.
 """
 
 import re
@@ -25,30 +25,30 @@
     model.RecordEntry,
     model.AgentSet,
 )
-_FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
+_PROTOCOL_FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
     string_length_limit=16 << 20, container_length_limit=1 << 20
 )
 
 
 @attrs.frozen(slots=True)
 class Envelope:
-    """A message and the peer endpoint of its sender."""
+    """A message with the peer endpoint of its sender."""
 
     sender: model.Endpoint
     message: model.Message
 
 
-def _snake(name: str) -> str:
+def _snake_case(name: str) -> str:
     return re.sub(r"(?<!^)(?=[A-Z])", "_", name).lower()
 
 
-_FIELD_OF = {kind: _snake(kind.__name__) for kind in _MESSAGE_TYPES}
+_ENVELOPE_FIELDS = {kind: _snake_case(kind.__name__) for kind in _MESSAGE_TYPES}
 _VALUE_CLASSES = {
     kind.__name__: kind for kind in (*_MESSAGE_TYPES, *_PART_TYPES)
 }
 
 
-def _names(value_class: type) -> list[tuple[str, str]]:
+def _paired_fields(value_class: type) -> list[tuple[str, str]]:
     struct = getattr(ttypes, value_class.__name__)
     fields = [entry[2] for entry in struct.thrift_spec if entry]
     return list(
@@ -60,13 +60,15 @@
     )
 
 
-_NAMES = {kind: _names(kind) for kind in _VALUE_CLASSES.values()}
+_PAIRED_FIELDS = {
+    kind: _paired_fields(kind) for kind in _VALUE_CLASSES.values()
+}
 
 
 def _to_struct(value: Any) -> Any:
-    if type(value) in _NAMES:
+    if type(value) in _PAIRED_FIELDS:
         struct = getattr(ttypes, type(value).__name__)()
-        for name, field in _NAMES[type(value)]:
+        for name, field in _PAIRED_FIELDS[type(value)]:
             setattr(struct, field, _to_struct(getattr(value, name)))
         return struct
     if isinstance(value, list):
@@ -81,14 +83,14 @@
     if value_class is None:
         return struct
     arguments = {}
-    for name, field in _NAMES[value_class]:
+    for name, field in _PAIRED_FIELDS[value_class]:
         arguments[name] = _from_struct(getattr(struct, field))
     return value_class(**arguments)
 
 
 def _check_required(struct: Any) -> None:
-    """Raises ValueError where a field that is not optional is missing."""
-    optional = _OPTIONAL.get(type(struct).__name__, frozenset())
+    """Raises ValueError if a required field is missing."""
+    optional = _OPTIONAL_FIELDS.get(type(struct).__name__, frozenset())
     for entry in struct.thrift_spec:
         if not entry or entry[2] in optional:
             continue
@@ -102,8 +104,8 @@
                 _check_required(item)
 
 
-_OPTIONAL = {
-    "Envelope": frozenset(_FIELD_OF.values()),
+_OPTIONAL_FIELDS = {
+    "Envelope": frozenset(_ENVELOPE_FIELDS.values()),
     "TellOwner": frozenset(["owner"]),
     "GrantReply": frozenset(["holder"]),
     "RecordEntry": frozenset(["holder"]),
@@ -123,9 +125,9 @@
         version=PROTOCOL_VERSION, sender=_to_struct(envelope.sender)
     )
     message = envelope.message
-    setattr(struct, _FIELD_OF[type(message)], _to_struct(message))
+    setattr(struct, _ENVELOPE_FIELDS[type(message)], _to_struct(message))
     buffer = TTransport.TMemoryBuffer()
-    struct.write(_FACTORY.getProtocol(buffer))
+    struct.write(_PROTOCOL_FACTORY.getProtocol(buffer))
     return buffer.getvalue()
 
 
@@ -145,32 +147,36 @@
         The message with its sender.
 
     Raises:
-        CodecError: The bytes are no message of this protocol version.
+        CodecError: The bytes are not a message of this protocol version.
     """
     struct = ttypes.Envelope()
     try:
-        struct.read(_FACTORY.getProtocol(TTransport.TMemoryBuffer(data)))
+        struct.read(
+            _PROTOCOL_FACTORY.getProtocol(TTransport.TMemoryBuffer(data))
+        )
         if struct.version != PROTOCOL_VERSION:
-            raise ValueError(f"protocol version {struct.version}")
+            raise ValueError(f"unsupported protocol version {struct.version}")
         _check_required(struct)
-        body = _only_message(struct)
+        body = _single_message(struct)
         _check_required(body)
         sender = _from_struct(struct.sender)
         return Envelope(sender=sender, message=_from_struct(body))
     except Exception as error:  # The library raises many unrelated types.
-        raise model.CodecError("thrift", _reason(error)) from error
+        raise model.CodecError("thrift", _error_text(error)) from error
 
 
-def _reason(error: Exception) -> str:
+def _error_text(error: Exception) -> str:
     return f"{type(error).__name__}: {error}"[:200]
 
 
-def _only_message(struct: Any) -> Any:
+def _single_message(struct: Any) -> Any:
     bodies = [
         body
-        for field in _FIELD_OF.values()
+        for field in _ENVELOPE_FIELDS.values()
         if (body := getattr(struct, field)) is not None
     ]
     if len(bodies) != 1:
-        raise ValueError(f"{len(bodies)} messages in one envelope")
+        raise ValueError(
+            f"expected 1 message in the envelope, got {len(bodies)}"
+        )
     return bodies[0]
--- a/notchhoist/wire/tests/__init__.py
+++ b/notchhoist/wire/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the codecs."""
--- a/notchhoist/wire/tests/test_wire.py
+++ b/notchhoist/wire/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Codecs: round trips, and bytes that are no message."""
+"""Codecs: round trips, and bytes that are not a message."""
 
 import hypothesis
 import pytest
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_truncated_bytes_are_refused_or_whole(message):
+def test_truncated_bytes_are_refused(message):
     data = wire.encode_peer(wire.Envelope(HERE, message))
     for size in range(len(data)):
         with pytest.raises(model.CodecError):
@@ -99,14 +99,14 @@
     return wire.decode_coap(message.encode())
 
 
-def test_the_deadline_option_leaves_the_request_as_it_was():
+def test_the_deadline_option_does_not_change_the_request():
     original = request(uri_path=("booking", "hallbook", "b1"))
     data = wire.with_deadline(original, 1.5)
     assert wire.deadline_of(wire.decode_coap(data)) == 1.5
     assert wire.deadline_of(original) is None
 
 
-def test_a_refusal_says_what_and_when_to_come_back():
+def test_a_refusal_has_its_reason_and_the_time_to_retry():
     data = wire.refusal(request(), wire.Refusal.NOT_RUN, "queue_full", 3)
     answer = wire.decode_coap(data)
     assert answer.code is Code.SERVICE_UNAVAILABLE
