--- a/notchhoist/documents/__init__.py
+++ b/notchhoist/documents/__init__.py
@@ -1,4 +1,4 @@
-"""Published configuration and settings: reading, checking, writing."""
+"""Parsing, validation and writing of configuration and settings."""
 
 from notchhoist.documents.configuration import (
     parse_balancers,
--- a/notchhoist/documents/configuration.py
+++ b/notchhoist/documents/configuration.py
@@ -1,7 +1,7 @@
-"""The published document: read, checked whole, written.
+"""Parsing, validation and writing of the published configuration.
 
-The format is the JSON form of ``model.Configuration``; endpoints are written
-``ip:port``. Nothing of a document is put in force unless all of it passes.
+A document is the JSON form of ``model.Configuration``, with endpoints as
+``ip:port``. It is applied only if all of it is valid.
 """
 
 import ipaddress
@@ -21,17 +21,20 @@
 )
 
 MAX_DOCUMENT_BYTES = 1 << 20
-"""The platform holds values up to a megabyte."""
+"""Largest document, bytes: the platform stores values of up to 1 MiB."""
 
 MAX_REVISION = 2**53
 MAX_WEIGHT = 100
 MAX_SLOTS = 4096
 MAX_MEMORY_S = 3600.0
 MEMORY_PER_DEADLINE = 2.0
-"""Witnesses remember at least this many deadlines of a once-only kind."""
+"""Least memory of the witnesses, in deadlines of a non-repeatable kind."""
 
 MAX_DEADLINE_S = 45.0
-"""A caller retransmits this long (RFC 7252, MAX_TRANSMIT_SPAN), seconds."""
+"""Longest deadline, seconds: callers retransmit for as long.
+
+This is MAX_TRANSMIT_SPAN of RFC 7252.
+"""
 
 METHODS = ("GET", "POST", "PUT", "DELETE", "FETCH", "PATCH", "IPATCH")
 
@@ -44,7 +47,7 @@
 def parse_configuration(
     text: bytes,
 ) -> Result[model.Configuration, model.ConfigurationRefusedError]:
-    """Reads and checks a published document.
+    """Parses and validates a published document.
 
     Examples:
         >>> parse_configuration(b'{"revision": 3}').unwrap().revision
@@ -57,7 +60,7 @@
         text: UTF-8 JSON, comments allowed.
 
     Returns:
-        The configuration, or everything that is wrong with the document.
+        The configuration, or an error with every problem of the document.
     """
     if len(text) > MAX_DOCUMENT_BYTES:
         problem = model.ConfigurationProblem(
@@ -68,7 +71,7 @@
     revision = _revision_of(read.value_or(None))
     result = read.bind(
         lambda value: structure(value, model.Configuration)
-    ).bind(_checked)
+    ).bind(_validate_configuration)
     return result.alt(
         lambda problems: model.ConfigurationRefusedError(revision, problems)
     )
@@ -79,28 +82,30 @@
     return revision if type(revision) is int else -1
 
 
-def _checked(
+def _validate_configuration(
     configuration: model.Configuration,
 ) -> Result[model.Configuration, Problems]:
-    problems = tuple(_problems(configuration))
+    problems = tuple(_configuration_problems(configuration))
     return Failure(problems) if problems else Success(configuration)
 
 
-def _problems(
+def _configuration_problems(
     configuration: model.Configuration,
 ) -> Iterator[model.ConfigurationProblem]:
     if not 1 <= configuration.revision <= MAX_REVISION:
-        yield _bad("revision", f"1 to {MAX_REVISION}", configuration.revision)
+        yield _problem(
+            "revision", f"1 to {MAX_REVISION}", configuration.revision
+        )
     services = configuration.services
-    yield from _repeated("services", [item.name for item in services])
+    yield from _duplicate_problems("services", [item.name for item in services])
     addresses = [str(item.address) for item in services]
-    yield from _repeated("services", addresses, "address")
+    yield from _duplicate_problems("services", addresses, "address")
     servers = [server for item in services for server in item.servers]
     for field in ("name", "agent", "address"):
         values = [str(getattr(server, field)) for server in servers]
-        yield from _repeated("servers", values, field)
+        yield from _duplicate_problems("servers", values, field)
     names = [item.name for item in configuration.balancers]
-    yield from _repeated("balancers", names)
+    yield from _duplicate_problems("balancers", names)
     for place, item in enumerate(services):
         yield from _service_problems(f"services[{place}]", item)
     for place, host in enumerate(configuration.balancers):
@@ -113,10 +118,12 @@
     yield from _name_problems(f"{place}.name", service.name)
     yield from _address_problems(f"{place}.address", service.address)
     if not 0 <= service.epoch <= MAX_REVISION:
-        yield _bad(f"{place}.epoch", f"0 to {MAX_REVISION}", service.epoch)
+        yield _problem(f"{place}.epoch", f"0 to {MAX_REVISION}", service.epoch)
     if not 0.0 < service.memory_s <= MAX_MEMORY_S:
-        yield _bad(f"{place}.memory_s", "0 to 3600 s", service.memory_s)
-    yield from _repeated(f"{place}.kinds", [k.name for k in service.kinds])
+        yield _problem(f"{place}.memory_s", "0 to 3600 s", service.memory_s)
+    yield from _duplicate_problems(
+        f"{place}.kinds", [k.name for k in service.kinds]
+    )
     for number, kind in enumerate(service.kinds):
         yield from _kind_problems(f"{place}.kinds[{number}]", kind)
         if not kind.repeatable:
@@ -129,22 +136,22 @@
     place: str, kind: model.Kind
 ) -> Iterator[model.ConfigurationProblem]:
     if kind.method not in METHODS:
-        yield _bad(f"{place}.method", " or ".join(METHODS), kind.method)
+        yield _problem(f"{place}.method", " or ".join(METHODS), kind.method)
     if not 1 <= kind.weight <= MAX_WEIGHT:
-        yield _bad(f"{place}.weight", f"1 to {MAX_WEIGHT}", kind.weight)
+        yield _problem(f"{place}.weight", f"1 to {MAX_WEIGHT}", kind.weight)
     if not 0.0 < kind.deadline_s <= MAX_DEADLINE_S:
         expected = f"above 0 to {MAX_DEADLINE_S} s"
-        yield _bad(f"{place}.deadline_s", expected, kind.deadline_s)
+        yield _problem(f"{place}.deadline_s", expected, kind.deadline_s)
 
 
 def _memory_problems(
     place: str, service: model.Service, kind: model.Kind
 ) -> Iterator[model.ConfigurationProblem]:
-    """A fence must find the grant that it may have to respect."""
+    """Checks that witnesses keep a grant as long as a fence may need it."""
     least = MEMORY_PER_DEADLINE * kind.deadline_s
     if service.memory_s < least:
         expected = f"{least} s or more for {kind.name}"
-        yield _bad(f"{place}.memory_s", expected, service.memory_s)
+        yield _problem(f"{place}.memory_s", expected, service.memory_s)
 
 
 def _server_problems(
@@ -154,16 +161,18 @@
     yield from _address_problems(f"{place}.agent", server.agent)
     yield from _address_problems(f"{place}.address", server.address)
     if not 1 <= server.slots <= MAX_SLOTS:
-        yield _bad(f"{place}.slots", f"1 to {MAX_SLOTS}", server.slots)
+        yield _problem(f"{place}.slots", f"1 to {MAX_SLOTS}", server.slots)
     if not 0.0 < server.weight <= MAX_WEIGHT:
-        yield _bad(f"{place}.weight", f"above 0 to {MAX_WEIGHT}", server.weight)
+        yield _problem(
+            f"{place}.weight", f"above 0 to {MAX_WEIGHT}", server.weight
+        )
 
 
 def _name_problems(
     place: str, name: str
 ) -> Iterator[model.ConfigurationProblem]:
     if not name or not name.replace("-", "").replace("_", "").isalnum():
-        yield _bad(place, "letters, digits, - and _", name)
+        yield _problem(place, "letters, digits, - and _", name)
 
 
 def _address_problems(
@@ -172,48 +181,52 @@
     try:
         ipaddress.ip_address(endpoint.host)
     except ValueError:
-        yield _bad(place, "an IP number and a port", endpoint)
+        yield _problem(place, "an IP number and a port", endpoint)
 
 
-def _repeated(
+def _duplicate_problems(
     place: str, values: Sequence[str], field: str = "name"
 ) -> Iterator[model.ConfigurationProblem]:
     seen: set[str] = set()
     for number, value in enumerate(values):
         if value in seen:
-            yield _bad(f"{place}[{number}].{field}", "no repetition", value)
+            yield _problem(
+                f"{place}[{number}].{field}", "a unique value", value
+            )
         seen.add(value)
 
 
-def _bad(place: str, expected: str, got: Any) -> model.ConfigurationProblem:
+def _problem(place: str, expected: str, got: Any) -> model.ConfigurationProblem:
     return model.ConfigurationProblem(place, expected, repr(got))
 
 
 def write_configuration(configuration: model.Configuration) -> bytes:
-    """Writes a document for the operator to publish."""
+    """Encodes a document for the operator to publish."""
     return orjson.dumps(unstructure(configuration), option=orjson.OPT_INDENT_2)
 
 
 def write_service(service: model.Service) -> bytes:
-    """Writes the record of one service for a peer."""
+    """Encodes the configuration of one service for a peer."""
     return orjson.dumps(unstructure(service))
 
 
 def write_balancers(balancers: Sequence[model.BalancerHost]) -> bytes:
-    """Writes the balancer list for a peer."""
+    """Encodes the list of balancers for a peer."""
     return orjson.dumps(unstructure(_BalancerList(tuple(balancers))))
 
 
 def parse_service(text: bytes) -> Result[model.Service, Problems]:
-    """Reads and checks the record of one service from a peer."""
+    """Parses and validates the configuration of one service from a peer."""
     return (
         read_json(text)
         .bind(lambda value: structure(value, model.Service))
-        .bind(_checked_service)
+        .bind(_validate_service)
     )
 
 
-def _checked_service(service: model.Service) -> Result[model.Service, Problems]:
+def _validate_service(
+    service: model.Service,
+) -> Result[model.Service, Problems]:
     problems = tuple(_service_problems("service", service))
     return Failure(problems) if problems else Success(service)
 
@@ -221,7 +234,7 @@
 def parse_balancers(
     text: bytes,
 ) -> Result[tuple[model.BalancerHost, ...], Problems]:
-    """Reads the balancer list from a peer."""
+    """Parses the list of balancers from a peer."""
     return (
         read_json(text)
         .bind(lambda value: structure(value, _BalancerList))
--- a/notchhoist/documents/structuring.py
+++ b/notchhoist/documents/structuring.py
@@ -1,4 +1,4 @@
-"""From JSON with comments to attrs classes, all problems at once."""
+"""Conversion of JSON with comments to attrs classes, with all problems."""
 
 import enum
 from typing import Any, TypeVar
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 Problems = tuple[model.ConfigurationProblem, ...]
 
-_SHOWN_CHARACTERS = 60
+_MAX_SHOWN_CHARACTERS = 60
 
 
 def _make_converter() -> cattrs.Converter:
@@ -22,7 +22,7 @@
     )
     converter.register_unstructure_hook(model.Endpoint, str)
     for strict in (int, str, bool):
-        converter.register_structure_hook(strict, _strictly(strict))
+        converter.register_structure_hook(strict, _exact_type(strict))
     converter.register_structure_hook(float, _number)
     converter.register_structure_hook(enum.StrEnum, _enum_member)
     return converter
@@ -42,7 +42,7 @@
         raise ValueError(f"expected {names}") from None
 
 
-def _strictly(wanted: type) -> Any:
+def _exact_type(wanted: type) -> Any:
     def check(value: Any, _: type) -> Any:
         if type(value) is not wanted:
             raise ValueError(f"expected {wanted.__name__}")
@@ -61,7 +61,7 @@
 
 
 def read_json(text: bytes) -> Result[Any, Problems]:
-    """Reads JSON with comments.
+    """Parses JSON with comments.
 
     Examples:
         >>> read_json(b"{a: 1 /* one */}").unwrap()
@@ -71,7 +71,7 @@
         text: UTF-8 text.
 
     Returns:
-        The value, or one problem that names the place in the text.
+        The value, or one problem with its position in the text.
     """
     try:
         return Success(pyjson5.decode(text.decode()))
@@ -82,18 +82,20 @@
 
 
 def _problem(place: str, expected: str, got: str) -> model.ConfigurationProblem:
-    return model.ConfigurationProblem(place, expected, got[:_SHOWN_CHARACTERS])
+    return model.ConfigurationProblem(
+        place, expected, got[:_MAX_SHOWN_CHARACTERS]
+    )
 
 
 def structure(value: Any, wanted: type[T]) -> Result[T, Problems]:
-    """Makes an attrs class of plain JSON values.
+    """Converts plain JSON values to an instance of an attrs class.
 
     Args:
-        value: What ``read_json`` gave.
-        wanted: The class; fields it does not have are refused.
+        value: Result of ``read_json``.
+        wanted: The class; unknown fields are refused.
 
     Returns:
-        The instance, or every problem with the path of its field.
+        The instance, or all problems, each with the path of its field.
     """
     try:
         return Success(_CONVERTER.structure(value, wanted))
@@ -128,5 +130,5 @@
 
 
 def unstructure(value: Any) -> Any:
-    """Makes plain JSON values of an attrs class."""
+    """Converts an instance of an attrs class to plain JSON values."""
     return _CONVERTER.unstructure(value)
--- a/notchhoist/documents/tests/__init__.py
+++ b/notchhoist/documents/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of parsing and validation."""
--- a/notchhoist/documents/tests/test_configuration.py
+++ b/notchhoist/documents/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Published documents: checked whole, every problem with its place."""
+"""Published documents: a document is refused with all its problems."""
 
 import json
 
@@ -18,12 +18,12 @@
 
 
 @pytest.mark.parametrize(("text", "place"), CASES)
-def test_a_bad_document_is_refused_whole(text, place):
+def test_an_invalid_document_is_refused(text, place):
     refused = documents.parse_configuration(text).failure()
     assert place in [problem.place for problem in refused.problems]
 
 
-def test_a_memory_shorter_than_two_deadlines_is_refused():
+def test_a_witness_memory_of_less_than_two_deadlines_is_refused():
     kind = '{"name": "b", "method": "POST", "path": "b", "repeatable": false}'
     text = (
         '{"revision": 1, "services": [{"name": "a", "memory_s": 9,'
@@ -33,7 +33,7 @@
     assert refused.problems[0].place == "services[0].memory_s"
 
 
-def test_repeated_names_and_addresses_are_refused():
+def test_duplicate_names_and_addresses_are_refused():
     service = '{"name": "a", "address": "10.0.0.1:1"}'
     text = f'{{"revision": 1, "services": [{service}, {service}]}}'
     refused = documents.parse_configuration(text.encode()).failure()
