--- a/notchhoist/publication/__init__.py
+++ b/notchhoist/publication/__init__.py
@@ -1,7 +1,6 @@
-"""The publication service of the CoAP interface: read and watched only.
+"""Read-only client of the publication service, for the CoAP interface.
 
-The opaque-flow path reads its configuration elsewhere, see
-``notchhoist.platform``.
+The path for opaque flows reads its configuration by ``notchhoist.platform``.
 """
 
 from notchhoist.publication.http_client import (
--- a/notchhoist/publication/http_client.py
+++ b/notchhoist/publication/http_client.py
@@ -1,4 +1,4 @@
-"""The platform's service over HTTP, by httpx."""
+"""HTTP client of the platform's publication service, based on httpx."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -23,10 +23,10 @@
 
 @attrs.define
 class HttpPlatform:
-    """Reads the platform over HTTP.
+    """Reads from the platform's service over HTTP.
 
     Attributes:
-        client: Client whose base address is the platform's.
+        client: HTTP client with the platform's address as its base URL.
     """
 
     client: httpx.AsyncClient
@@ -72,7 +72,7 @@
 
 @asynccontextmanager
 async def open_http_platform(address: str) -> AsyncIterator[HttpPlatform]:
-    """Opens the platform at an address such as ``http://127.0.0.1:8400``."""
+    """Opens a client for an address such as ``http://127.0.0.1:8400``."""
     async with httpx.AsyncClient(base_url=address, trust_env=False) as client:
         yield HttpPlatform(client)
 
@@ -81,7 +81,7 @@
     read: Result[bytes, model.PlatformError]
     | Result[HostList, model.PlatformError],
 ) -> model.ConfigurationRead | model.HostsRead:
-    """Turns the result of a read into the event for a node."""
+    """Converts the result of a read to an event for a node."""
     value = read.value_or(None)
     if isinstance(value, HostList):
         return model.HostsRead(value.live, value.leaving, failed=False)
--- a/notchhoist/publication/protocol.py
+++ b/notchhoist/publication/protocol.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform."""
+"""Interface to the platform's publication service."""
 
 from typing import Protocol
 
@@ -10,11 +10,11 @@
 
 @attrs.frozen
 class HostList:
-    """The platform's lagging list of hosts.
+    """The platform's list of hosts, which lags behind their real state.
 
     Attributes:
         live: Names of live hosts.
-        leaving: Names of hosts that are about to stop.
+        leaving: Names of draining hosts, which are about to stop.
     """
 
     live: frozenset[str] = frozenset()
@@ -22,7 +22,7 @@
 
 
 class Platform(Protocol):
-    """The platform's service: two reads and nothing else."""
+    """The platform's service, of which the system uses two reads."""
 
     async def read_configuration(
         self, after: int, wait_s: float
@@ -30,12 +30,12 @@
         """Reads the published document.
 
         Args:
-            after: Answer only with a revision above this one.
-            wait_s: How long the platform may hold the read, seconds.
+            after: Only a document of a higher revision is returned.
+            wait_s: Longest time that the platform may wait for one, seconds.
 
         Returns:
-            The text, empty where nothing newer came; or what failed.
+            The document, empty if there is no newer one, or the error.
         """
 
     async def read_hosts(self) -> Result[HostList, model.PlatformError]:
-        """Reads the list of live and leaving hosts."""
+        """Reads the list of live and draining hosts."""
--- a/notchhoist/publication/tests/__init__.py
+++ b/notchhoist/publication/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the HTTP client."""
--- a/notchhoist/publication/tests/test_http_client.py
+++ b/notchhoist/publication/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The platform's client: answers, and every way to fail, as typed results."""
+"""HTTP client of the platform: responses and failures as typed results."""
 
 import anyio
 import httpx
@@ -28,28 +28,28 @@
     assert (event.document, event.failed) == (b"{}", False)
 
 
-def test_nothing_newer():
+def test_no_newer_document():
     event = publication.to_events(read(lambda request: httpx.Response(204)))
     assert (event.document, event.failed) == (b"", False)
 
 
-def test_the_query_says_what_is_known():
-    asked = []
+def test_the_query_has_the_known_revision_and_the_waiting_time():
+    queries = []
 
     def handler(request):
-        asked.append(dict(request.url.params))
+        queries.append(dict(request.url.params))
         return httpx.Response(204)
 
     read(handler)
-    assert asked == [{"after": "3", "wait": "1.0"}]
+    assert queries == [{"after": "3", "wait": "1.0"}]
 
 
-def broken(request):
+def refuse_connection(request):
     raise httpx.ConnectError("refused")
 
 
 @pytest.mark.parametrize(
-    "handler", [broken, lambda request: httpx.Response(503)]
+    "handler", [refuse_connection, lambda request: httpx.Response(503)]
 )
 @pytest.mark.parametrize("operation", ["configuration", "hosts"])
 def test_failures_are_typed(handler, operation):
@@ -65,6 +65,6 @@
     assert event.leaving == {"b"}
 
 
-def test_a_host_list_that_is_none():
+def test_an_invalid_host_list_is_a_failure():
     result = read(lambda request: httpx.Response(200, content=b"[]"), "hosts")
     assert publication.to_events(result).failed
