--- a/notchhoist/documents/configuration.py
+++ b/notchhoist/documents/configuration.py
@@ -21,7 +21,7 @@
 )
 
 MAX_DOCUMENT_BYTES = 1 << 20
-"""Largest document, bytes: the platform stores values of up to 1 MiB."""
+"""Largest document, bytes: the platform stores values of up to a megabyte."""
 
 MAX_REVISION = 2**53
 MAX_WEIGHT = 100
