--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -181,7 +181,7 @@
             service.name, caller, message.encode(), 1, 0, True, balancer
         )
         data = wire.encode_peer(wire.Envelope(balancer, forward))
-        answer = wire.readdressed(
+        answer = wire.encode_response_for(
             wire.CoapMessage(Message(code=Code.CONTENT, payload=b"r")),
             wire.decode_coap(message.encode()),
         )
--- a/notchhoist/controllers/outcomes.py
+++ b/notchhoist/controllers/outcomes.py
@@ -130,7 +130,7 @@
             response = outcome.response
             self.exchanges.answer(
                 origin,
-                lambda request: wire.readdressed(response, request),
+                lambda request: wire.encode_response_for(response, request),
                 now,
             )
             return
--- a/notchhoist/daemon/runtime.py
+++ b/notchhoist/daemon/runtime.py
@@ -106,10 +106,10 @@
         self, effect: model.ReadConfiguration
     ) -> None:
         read = await self.source.read_configuration(effect.after, effect.wait_s)
-        self.handle(publication.to_events(read))
+        self.handle(publication.to_event(read))
 
     async def _read_hosts(self) -> None:
-        self.handle(publication.to_events(await self.source.read_hosts()))
+        self.handle(publication.to_event(await self.source.read_hosts()))
 
     def _send_backend(self, effect: model.SendBackend) -> None:
         if anyio.current_time() > effect.not_after:
--- a/notchhoist/links/scheduler.py
+++ b/notchhoist/links/scheduler.py
@@ -33,7 +33,7 @@
 datagram that waits for longer would arrive together with its retransmissions.
 """
 
-BYTES_A_MBPS_S = 125_000
+BYTES_PER_S_PER_MBPS = 125_000
 
 
 class LinkScheduler(Struct, eq=False):
@@ -121,5 +121,5 @@
             possible credit, and 0.913 with first in, first out (means of three
             runs); at 2 Mbit/s, 0.998 and 0.993.
     """
-    rate = link_mbps * BYTES_A_MBPS_S * BANDWIDTH_SHARE
+    rate = link_mbps * BYTES_PER_S_PER_MBPS * BANDWIDTH_SHARE
     return LinkScheduler(rate, backlog or FairBacklog())
--- a/notchhoist/publication/__init__.py
+++ b/notchhoist/publication/__init__.py
@@ -6,7 +6,7 @@
 from notchhoist.publication.http_client import (
     HttpPlatform,
     open_http_platform,
-    to_events,
+    to_event,
 )
 from notchhoist.publication.protocol import HostList, Platform
 
@@ -15,5 +15,5 @@
     "HttpPlatform",
     "Platform",
     "open_http_platform",
-    "to_events",
+    "to_event",
 ]
--- a/notchhoist/publication/http_client.py
+++ b/notchhoist/publication/http_client.py
@@ -77,7 +77,7 @@
         yield HttpPlatform(client)
 
 
-def to_events(
+def to_event(
     read: Result[bytes, model.PlatformError]
     | Result[HostList, model.PlatformError],
 ) -> model.ConfigurationRead | model.HostsRead:
--- a/notchhoist/publication/tests/test_http_client.py
+++ b/notchhoist/publication/tests/test_http_client.py
@@ -24,12 +24,12 @@
 
 def test_a_document():
     result = read(lambda request: httpx.Response(200, content=b"{}"))
-    event = publication.to_events(result)
+    event = publication.to_event(result)
     assert (event.document, event.failed) == (b"{}", False)
 
 
 def test_no_newer_document():
-    event = publication.to_events(read(lambda request: httpx.Response(204)))
+    event = publication.to_event(read(lambda request: httpx.Response(204)))
     assert (event.document, event.failed) == (b"", False)
 
 
@@ -55,16 +55,16 @@
 def test_failures_are_typed(handler, operation):
     result = read(handler, operation)
     assert result.failure().operation == operation
-    assert publication.to_events(result).failed
+    assert publication.to_event(result).failed
 
 
 def test_a_host_list():
     text = b'{"live": ["a", "b"], "leaving": ["b"]}'
     result = read(lambda request: httpx.Response(200, content=text), "hosts")
-    event = publication.to_events(result)
+    event = publication.to_event(result)
     assert event.leaving == {"b"}
 
 
 def test_an_invalid_host_list_is_a_failure():
     result = read(lambda request: httpx.Response(200, content=b"[]"), "hosts")
-    assert publication.to_events(result).failed
+    assert publication.to_event(result).failed
--- a/notchhoist/testing/backend.py
+++ b/notchhoist/testing/backend.py
@@ -343,7 +343,7 @@
     def _answer(
         self, request: wire.CoapMessage, source: model.Endpoint, answer: Message
     ) -> Reply:
-        data = wire.readdressed(wire.CoapMessage(answer), request)
+        data = wire.encode_response_for(wire.CoapMessage(answer), request)
         self.answers[source, request.mid] = data
         if len(self.answers) > DEDUPLICATION:
             self.answers.popitem(last=False)
--- a/notchhoist/testing/opaque/links.py
+++ b/notchhoist/testing/opaque/links.py
@@ -4,7 +4,7 @@
 
 from notchhoist.links.packets import Outgoing
 from notchhoist.links.scheduler import (
-    BYTES_A_MBPS_S,
+    BYTES_PER_S_PER_MBPS,
     LinkScheduler,
     make_scheduler,
 )
@@ -51,5 +51,5 @@
         paced: The process lets no more leave than it carries.
     """
     return HostLink(
-        mbps * BYTES_A_MBPS_S, make_scheduler(mbps if paced else 0.0)
+        mbps * BYTES_PER_S_PER_MBPS, make_scheduler(mbps if paced else 0.0)
     )
--- a/notchhoist/wire/coap.py
+++ b/notchhoist/wire/coap.py
@@ -192,7 +192,7 @@
     return _header(Code.EMPTY, Type.RST, mid).encode()
 
 
-def readdressed(response: CoapMessage, request: CoapMessage) -> bytes:
+def encode_response_for(response: CoapMessage, request: CoapMessage) -> bytes:
     """Encodes a response with the message ID and token of a given request.
 
     Args:
@@ -233,7 +233,7 @@
     text = f"{kind.value}: {reason}".encode()
     answer = Message(code=_REFUSAL_CODES[kind], payload=text)
     answer.opt.max_age = retry_after_s
-    return readdressed(CoapMessage(answer), request)
+    return encode_response_for(CoapMessage(answer), request)
 
 
 def with_deadline(request: CoapMessage, remaining_s: float) -> bytes:
