--- a/notchhoist/testing/soak/addresses.py
+++ b/notchhoist/testing/soak/addresses.py
@@ -1,9 +1,9 @@
-"""Loopback addresses of a run, so that several can go on side by side."""
+"""Loopback addresses of a run, separate for runs at the same time."""
 
 import attrs
 
 FIRST_BLOCK = 32
-"""Second octet of the first block; lower ones are used by other tests."""
+"""Second octet of the first block; other tests use lower ones."""
 
 BLOCKS = 60
 OCTETS_A_BLOCK = 3
@@ -20,11 +20,11 @@
 class Block:
     """The addresses of one run.
 
-    Each daemon has an address of its own and one under which the others know
-    it; a proxy listens at the second.
+    Each daemon binds one address and advertises another, on which a proxy
+    listens.
 
     Attributes:
-        number: Number of the block, from 0.
+        number: Number of the block from 0; used modulo ``BLOCKS``.
     """
 
     number: int
@@ -38,7 +38,7 @@
         return f"{self._prefix(0)}.{zone + 1}.{number + 1}"
 
     def known(self, zone: int, number: int) -> str:
-        """Returns the address that the other daemons use for it.
+        """Returns the address that a daemon advertises to the others.
 
         Examples:
             >>> Block(0).own(1, 3), Block(0).known(1, 3)
--- a/notchhoist/testing/soak/configuration_troubles.py
+++ b/notchhoist/testing/soak/configuration_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of a run that operators bring about by what they publish."""
+"""Troubles caused by published configurations."""
 
 import random
 from functools import partial
@@ -8,29 +8,29 @@
 
 WEIGHT_TURNS = 3
 TURN_GAP_S = 0.15
-"""Changes of a split's weights, and the pause between two, seconds."""
+"""Number of weight changes of a split, and the pause between two in seconds."""
 
 TURNS_S = WEIGHT_TURNS * TURN_GAP_S
 
 
 def change_configuration(fleet: Fleet, _: random.Random) -> Heal:
-    """Publishes versions in quick succession."""
+    """Publishes five versions in quick succession."""
     for number in range(5):
         fleet.loop.call_later(number * 0.1, fleet.publish)
     return nothing
 
 
 def drop_route(fleet: Fleet, rng: random.Random) -> Heal:
-    """Drops a route, whose callers ask for nothing until it is back."""
+    """Drops a route; its callers send no requests until it is restored."""
     port = rng.choice(WORKLOADS).port
     fleet.drop_route(port)
     return lambda: fleet.restore_route(port)
 
 
 def change_weights(fleet: Fleet, rng: random.Random) -> Heal:
-    """Turns the weights of a split route; a balancer stops meanwhile.
+    """Changes the weights of a split route, then stops a balancer.
 
-    Once it heals, the route names its own service only.
+    Healing publishes the route with its own service only.
     """
     workload = WORKLOADS[0]
     for number in range(WEIGHT_TURNS):
--- a/notchhoist/testing/soak/daemons.py
+++ b/notchhoist/testing/soak/daemons.py
@@ -1,4 +1,4 @@
-"""The daemons of a run: their settings files and their processes."""
+"""Settings files and processes of the daemons of a run."""
 
 import json
 import os
@@ -13,34 +13,34 @@
 from notchhoist.testing.soak import addresses
 
 RESTART_S = 0.2
-"""Pause before a process that has ended is started again, seconds."""
+"""Pause before an exited process is restarted, seconds."""
 
 GRACE_S = 6.0
-"""From SIGTERM to SIGKILL, seconds, as on the platform."""
+"""Time from SIGTERM to SIGKILL, seconds, as on the platform."""
 
 INTERPRETER_S = 0.5
-"""On a busy machine a process may need this long to reach its first line
-of ours, seconds; until then a request to reload ends it, as any program."""
+"""On a busy machine the interpreter may need this long to reach the daemon's
+code, seconds. Until then SIGHUP terminates the process."""
 
 COMMAND = (sys.executable, "-m", "notchhoist.daemon")
 
 
 @attrs.define(eq=False)
 class Daemon:
-    """One daemon's place on a host, and the process that runs there now.
+    """A daemon's configuration and its current process.
 
     Attributes:
         name: Name of the host.
         zone: Name of its availability zone.
-        own: IP number that it binds.
-        known: IP number under which the others know it.
+        own: IP address that it binds.
+        known: IP address that it advertises to the others.
         service: Service of the backend server beside it; empty on balancers.
-        folder: Where its settings and logs go.
+        folder: Folder of its settings file and log.
         process: The process, or None while it is down.
-        down_until: Not started before this, seconds.
-        killed_at: When a stopping process is killed, seconds.
-        ending: Its end was brought about by the run.
-        starts: How many processes ran here.
+        down_until: Earliest time of the next start, seconds.
+        killed_at: When a stopping process gets SIGKILL, seconds.
+        ending: Whether the run has killed or stopped the process.
+        starts: Number of processes started so far.
         started_at: When the process started, seconds.
         reload_at: When it was last asked to reload, seconds.
     """
@@ -61,16 +61,16 @@
 
     @property
     def settings_path(self) -> Path:
-        """Its settings file."""
+        """Path of its settings file."""
         return self.folder / f"{self.name}.settings.json"
 
     @property
     def log_path(self) -> Path:
-        """Its logs; every process of this place appends to them."""
+        """Path of its log, to which each of its processes appends."""
         return self.folder / f"{self.name}.log"
 
     def write_settings(self, seeds: list[str]) -> None:
-        """Writes its settings file in the platform's form."""
+        """Writes its settings file in the platform's format."""
         listen = {
             "datagram_addr": f"{self.own}:{addresses.PACKETS_PORT}",
             "ready": f"{self.own}:{addresses.READY_PORT}",
@@ -111,35 +111,35 @@
             self.process.send_signal(number)
 
     def kill(self, now: float, down_s: float = RESTART_S) -> None:
-        """Kills the process; it is started again later."""
+        """Sends SIGKILL; the process is restarted after a pause."""
         self.ending = True
         self.down_until = max(self.down_until, now + down_s)
         self._signal(signal.SIGKILL)
 
     def stop(self, now: float) -> None:
-        """Asks the process to stop; it is started again."""
+        """Sends SIGTERM; the process is restarted after it exits."""
         self.ending = True
         self.killed_at = min(self.killed_at, now + GRACE_S)
         self._signal(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Lets the process stand still."""
+        """Suspends the process with SIGSTOP."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes the process with SIGCONT."""
         self._signal(signal.SIGCONT)
 
     def reload(self, now: float) -> None:
-        """Asks the process to read its settings anew."""
+        """Sends SIGHUP, upon which the process reloads its settings."""
         self.reload_at = now
         self._signal(signal.SIGHUP)
 
     def tend(self, now: float) -> int | None:
-        """Restarts what has ended and kills what does not stop.
+        """Restarts an exited process and kills one that does not stop.
 
         Returns:
-            The status of a process that ended although nobody made it, or None.
+            The status of a process that exited unexpectedly, or None.
         """
         if self.process is None:
             if now >= self.down_until:
@@ -160,7 +160,7 @@
         return status == -signal.SIGHUP and early
 
     def end(self) -> None:
-        """Ends the process for good."""
+        """Kills the process and does not restart it."""
         if self.process is None:
             return
         self.resume()
@@ -175,7 +175,7 @@
         try:
             status = Path(f"/proc/{self.process.pid}/status").read_text()
         except OSError:
-            return 0.0  # It has just ended; the next look finds another one.
+            return 0.0  # The process has just exited; it will be restarted.
         for line in status.splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) / 1024
--- a/notchhoist/testing/soak/datagram_proxy.py
+++ b/notchhoist/testing/soak/datagram_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy for the datagrams between daemons, with what may go wrong there.
+"""A fault-injecting proxy for the datagrams between daemons.
 
-Daemons know each other by addresses at which this proxy listens. It passes a
-datagram on from the address under which the receiver knows the sender.
+The daemons advertise addresses on which this proxy listens. It forwards each
+datagram from the sender's advertised address to the receiver's bound one.
 """
 
 import random
@@ -15,17 +15,17 @@
 from notchhoist.testing.soak.addresses import PEER_PORTS
 
 PORTS = (PEER_PORTS[0], PEER_PORTS[0] + 1)
-"""Packets between balancers and agents, and control messages."""
+"""Ports for packets between balancers and agents, and for control messages."""
 
 
 @attrs.define
 class LinkState:
-    """What is wrong with one direction between two daemons.
+    """Faults of one direction between two daemons.
 
     Attributes:
-        cut: Nothing passes.
-        loss: Share of the datagrams that are lost.
-        delay_s: Extra time under way, seconds.
+        cut: Every datagram is dropped.
+        loss: Share of the datagrams that are dropped.
+        delay_s: Extra one-way delay, seconds.
     """
 
     cut: bool = False
@@ -35,17 +35,17 @@
 
 @attrs.define(eq=False)
 class DatagramProxy:
-    """Passes datagrams on between daemons.
+    """Forwards datagrams between daemons.
 
     Attributes:
         loop: The event loop.
-        rng: Decides what is lost.
-        known_by_own: The known address of each daemon by its own.
-        own_by_known: The reverse.
-        sockets: Sockets by known address and port.
-        links: What is wrong, by known addresses of sender and receiver.
-        passed: Datagrams passed on.
-        dropped: Datagrams lost or cut.
+        rng: Source of the draws that decide on loss.
+        known_by_own: Advertised address by bound address.
+        own_by_known: Bound address by advertised address.
+        sockets: Sockets by advertised address and port.
+        links: Faults by advertised addresses of sender and receiver.
+        passed: Number of datagrams forwarded.
+        dropped: Number of datagrams lost, cut, or of unknown senders.
     """
 
     loop: Loop
@@ -58,10 +58,10 @@
     dropped: int = 0
 
     def add(self, own: str, known: str) -> None:
-        """Begins to stand in for a daemon.
+        """Binds a daemon's advertised address and forwards what arrives.
 
         Raises:
-            OSError: Its known address cannot be bound.
+            OSError: The advertised address cannot be bound.
         """
         self.known_by_own[own] = known
         self.own_by_known[known] = own
@@ -72,7 +72,7 @@
             self.loop.on_readable(sock, read)
 
     def link(self, source: str, target: str) -> LinkState:
-        """Returns the state of a direction, to be read or changed."""
+        """Returns the mutable state of one direction."""
         return self.links.setdefault((source, target), LinkState())
 
     def _pass_on(self, target: str, port: int, sock: socket.socket) -> None:
@@ -100,7 +100,7 @@
         datagrams.send(self.sockets[source, port], data, to)
 
     def close(self) -> None:
-        """Ends the proxy."""
+        """Closes all sockets."""
         for sock in self.sockets.values():
             self.loop.stop_watching(sock)
             sock.close()
--- a/notchhoist/testing/soak/ends.py
+++ b/notchhoist/testing/soak/ends.py
@@ -1,4 +1,4 @@
-"""Callers and backend servers of a run, on real sockets."""
+"""Endpoints of flows in a run: callers and backend servers."""
 
 import random
 import socket
@@ -27,10 +27,11 @@
 KEY = b"not told to the daemons"
 CALLERS_A_ZONE = 4
 DRAIN_S = 3.0
-"""A server that leaves gets no flow that is opened later than this, seconds."""
+"""A draining server must get no new flow after this time, seconds."""
 
 COPIES_S = 0.7
-"""A copy of an opening packet comes up to 0.6 s after the first one."""
+"""Allowance for retransmissions, seconds: that of an opening packet arrives up
+to 0.6 s after the original."""
 
 
 @attrs.define(eq=False)
@@ -39,11 +40,11 @@
 
     Attributes:
         daemon: The agent.
-        slots: Requests that the server works on at once.
-        server: The server that runs there, or None.
+        slots: Limit of concurrent requests at the server.
+        server: The current or last server, None before the first.
         packets: Its UDP socket.
-        listener: Its TCP socket, by which it shows that it listens.
-        draining_since: When it announced that it leaves, seconds.
+        listener: Its TCP socket, for liveness checks.
+        draining_since: When it announced its drain, seconds.
     """
 
     daemon: Daemon
@@ -55,7 +56,7 @@
 
     @property
     def ip(self) -> str:
-        """IP number that its entry names."""
+        """IP address in its published entry."""
         return self.daemon.known
 
     @property
@@ -66,19 +67,19 @@
 
 @attrs.define(eq=False)
 class Ends:
-    """Every end of a flow.
+    """All callers and backend servers of a run.
 
     Attributes:
         loop: The event loop.
-        rng: Source of every draw.
-        judge: Sees what they see.
-        routers: Take the callers' packets.
+        rng: Source of all random draws.
+        judge: Checks what callers and servers observe.
+        routers: Pick the balancers for callers' packets.
         requests: Kind of each request by its number.
-        callers: Callers by zone.
+        callers: Caller models by zone.
         places: Hosts of backend servers.
-        sockets: The callers' sockets by IP number.
-        numbers: Servers started so far.
-        unrouted: Ports of service addresses whose route is dropped.
+        sockets: The callers' sockets by IP address.
+        numbers: Number of servers started so far, for new ids.
+        unrouted: Service ports whose routes are dropped.
     """
 
     loop: Loop
@@ -123,7 +124,7 @@
         return number
 
     def _is_alive(self, caller: Address, service: Address) -> bool:
-        """Tells whether a flow must not be reset."""
+        """Tells whether a flow is alive, so that a reset needs an excuse."""
         return service[1] not in self.unrouted and any(
             place.server is not None and place.server.holds((caller, service))
             for place in self.places
@@ -145,7 +146,7 @@
                 model.on_frame(frame, now)
 
     def _read(self, raw: bytes, rule: str, now: float) -> Frame | None:
-        """Reads a packet; one that its sender did not write breaks a rule."""
+        """Decodes a packet; a malformed or forged one violates a rule."""
         try:
             frame = decode_frame(raw)
         except ValueError as error:
@@ -163,8 +164,8 @@
         """Starts a new incarnation of a backend server.
 
         Args:
-            place: Its host.
-            server_id: Its id; a new one where this is empty.
+            place: Host of the server.
+            server_id: Id of the server; empty for a new one.
 
         Raises:
             OSError: Its address cannot be bound.
@@ -217,7 +218,7 @@
             self.judge.break_rule("DRAIN", text, now)
 
     def end_server(self, place: ServerPlace) -> None:
-        """Ends a backend server without a word."""
+        """Stops a backend server abruptly, without a drain."""
         if place.server is not None:
             place.server.alive = False
         for sock in (place.packets, place.listener):
@@ -227,7 +228,7 @@
         place.packets = place.listener = None
 
     def tick(self, now: float) -> None:
-        """Sends copies that are due."""
+        """Sends the retransmissions that are due."""
         for model in self.callers.values():
             model.tick(now)
         for place in self.places:
@@ -235,7 +236,7 @@
                 place.server.tick(now)
 
     def close(self) -> None:
-        """Closes every socket."""
+        """Stops all servers and closes all sockets."""
         for place in self.places:
             self.end_server(place)
         for sock in self.sockets.values():
@@ -244,9 +245,9 @@
 
 
 def _take_and_close(listener: socket.socket) -> None:
-    """Shows that somebody listens, nothing more."""
+    """Accepts a connection of a liveness check and closes it."""
     try:
         sock, _ = listener.accept()
     except OSError:
-        return  # It was broken off before it was taken.
+        return  # The connection was aborted before the accept.
     sock.close()
--- a/notchhoist/testing/soak/fleet.py
+++ b/notchhoist/testing/soak/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real daemons with everything around them."""
+"""A fleet of real daemons and their simulated environment."""
 
 import random
 import time
@@ -23,21 +23,22 @@
 
 ZONES = ("war-memorial", "castlecliff", "aramoho")
 SERVICES = {"hallbook": 2, "scoredrop": 1}
-"""Backend servers in each zone."""
+"""Number of backend servers of each service in each zone."""
 
 SLOTS = 3
 APPLY_S = 3.0
-"""A configuration is in force after this, seconds."""
+"""Propagation deadline of a configuration, seconds."""
 
 LAPSE_S = 3.6
-"""An entry vanishes after three missed heartbeats of 1.2 s."""
+"""Lease of a server's entry, seconds: three missed heartbeats of 1.2 s."""
 
 TICK_S = 0.02
 TEND_S = 0.05
 SEEDS = 3
 LAG_S = 0.25
-"""A turn of the loop that takes longer held up everything around the daemons,
-seconds: half of what a balancer waits for an agent. It counts as a fault."""
+"""An iteration of the event loop that is delayed by more than this many seconds
+counts as a disruption, as it stalls the whole environment of the daemons. Half
+of the time that a balancer waits for an agent."""
 
 WORKLOADS = (
     Workload(
@@ -53,35 +54,36 @@
         *(1.0, 8.0),
     ),
 )
-"""Rates that one process can play beside thirty daemons."""
+"""Kinds of requests, at rates that one process sustains with thirty daemons."""
 
 
 @attrs.define(eq=False)
 class Fleet:
-    """Everything in one run.
+    """All daemons of one run and everything around them.
 
     Attributes:
-        rng: Source of every draw.
-        block: Its addresses.
-        folder: Where settings and logs go.
+        rng: Source of all random draws.
+        block: Addresses of the run.
+        folder: Folder of settings files and logs.
         per_zone: Balancers in each zone.
-        factor: Backend servers in each zone, as a factor on ``SERVICES``.
+        factor: Multiplier of the numbers in ``SERVICES``.
         loop: The event loop.
-        judge: What was seen.
-        store: The store's model.
+        judge: Collects outcomes and violations.
+        store: Model of the platform's store.
         store_port: Port of the store itself.
-        proxy: Carries datagrams between daemons.
-        routers: Hand out callers' packets.
+        proxy: Forwards datagrams between daemons.
+        routers: Pick the balancers for callers' packets.
         ends: Callers and backend servers.
-        balancers: Daemons on entry hosts.
-        streams: Each daemon's path to the store, by its name.
-        version: Version of the configuration.
-        troubled: Faults that last, by name; while there are any, bounds of
-            time do not hold.
-        drops: How many troubles have dropped a route, by its port.
-        splits: Services with weights of routes that name several, by port.
-        asking: Callers ask.
-        lag_s: Longest turn of the loop so far, seconds.
+        balancers: Daemons on entry hosts, without a backend server.
+        streams: Proxy between each balancer and the store, by its name.
+        version: Newest version of the configuration.
+        troubled: Faults in progress, by name; while there are any, time
+            bounds do not hold.
+        drops: Number of current troubles that drop a route, by port.
+        splits: Services with weights of split routes, by port.
+        asking: Whether callers send requests.
+        lag_s: Longest delay of the event loop so far, seconds.
+        ticked_at: When ``_tick`` last ran, seconds.
     """
 
     rng: random.Random
@@ -118,16 +120,16 @@
 
     @property
     def agents(self) -> list[Daemon]:
-        """Daemons beside backend servers."""
+        """Daemons on the hosts of backend servers."""
         return [place.daemon for place in self.ends.places]
 
     @property
     def daemons(self) -> list[Daemon]:
-        """All daemons."""
+        """All daemons, balancers first."""
         return self.balancers + self.agents
 
     def build(self) -> None:
-        """Makes the fleet and starts it.
+        """Creates all parts of the fleet and starts them.
 
         Raises:
             OSError: An address cannot be bound.
@@ -182,17 +184,17 @@
         self.start_server(place)
 
     def start_server(self, place: ServerPlace, server_id: str = "") -> None:
-        """Starts a backend server, which announces itself.
+        """Starts a backend server and writes its entry.
 
         Args:
-            place: Its host.
-            server_id: Its id; a new one where this is empty.
+            place: Host of the server.
+            server_id: Id of the server; empty for a new one.
         """
         self.ends.start_server(place, server_id)
         self.announce(place)
 
     def announce(self, place: ServerPlace) -> None:
-        """Writes a server's entry, as it does itself."""
+        """Writes a server's entry into the store if it is alive."""
         server = place.server
         if server is not None and server.alive:
             entry = published.entry_of(place, server, self.loop.clock())
@@ -216,19 +218,19 @@
     def split_route(
         self, workload: Workload, targets: tuple[tuple[str, int], ...]
     ) -> None:
-        """Publishes a route's services with weights; none for its own only."""
+        """Publishes a route with weighted services; none for its own only."""
         self.judge.permit(workload.name, [service for service, _ in targets])
         self.splits[workload.port] = targets
         self.publish()
 
     def drop_route(self, port: int) -> None:
-        """Drops a route; its callers ask for nothing until it is back."""
+        """Drops a route; its callers send no requests until it is restored."""
         self.drops[port] += 1
         self.ends.unrouted.add(port)
         self.publish()
 
     def restore_route(self, port: int) -> None:
-        """Publishes a dropped route again; callers use it once it is known."""
+        """Undoes one drop; callers resume ``APPLY_S`` after the last one."""
         self.drops[port] -= 1
         self.publish()
         self.loop.call_later(APPLY_S, lambda: self._use_again(port))
@@ -238,11 +240,11 @@
             self.ends.unrouted.discard(port)
 
     def disturb(self) -> None:
-        """Notes a disruption that is not planned."""
+        """Records an unplanned disruption at the present time."""
         self.judge.disturb(self.loop.clock())
 
     def begin_traffic(self) -> None:
-        """Lets the callers ask at random moments."""
+        """Starts Poisson arrivals of requests for each workload."""
         self.asking = True
         for workload in WORKLOADS:
             self._ask_later(workload)
@@ -279,13 +281,13 @@
         self.loop.call_later(TEND_S, self._tend)
 
     def run_until(self, when: float) -> None:
-        """Lets time pass."""
+        """Runs the event loop until a time."""
         self.loop.running = True
         self.loop.call_at(when, self.loop.stop)
         self.loop.run()
 
     def close(self) -> None:
-        """Ends everything that was started."""
+        """Kills all daemons and closes all sockets."""
         for daemon in self.daemons:
             daemon.end()
         self.ends.close()
--- a/notchhoist/testing/soak/healing.py
+++ b/notchhoist/testing/soak/healing.py
@@ -1,4 +1,4 @@
-"""What troubles share: how they heal, and whom they meet."""
+"""Helpers of all troubles: ending them and sampling their targets."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -7,9 +7,9 @@
 
 
 def nothing() -> None:
-    """Heals what heals by itself."""
+    """Does nothing: for troubles that end without an action."""
 
 
 def some(rng: random.Random, items: Sequence, share: float) -> list:
-    """Returns a random part of a list, at least one item."""
+    """Returns a random sample with a share of the items, at least one."""
     return rng.sample(list(items), max(1, round(len(items) * share)))
--- a/notchhoist/testing/soak/plan.py
+++ b/notchhoist/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which troubles come when, by seed."""
+"""The schedule of troubles that a seed determines."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -14,20 +14,20 @@
 )
 
 PLANNED_SHARE = 0.25
-"""Share of the seeds with planned work only, on which every bound holds all the
-time."""
+"""Share of the seeds with planned operations only, in whose runs every time
+bound holds throughout."""
 
 SERIES_SHARE = 0.3
-"""Share of the troubles that come again at once, in series."""
+"""Share of the troubles that occur twice in a row."""
 
 LATER_SEEDS = 500_000
-"""Seeds from here on draw from three more troubles than older ones."""
+"""Seeds from this one on also draw from ``LATER_TROUBLES``."""
 
 NEWEST_SEEDS = 600_000
-"""Seeds from here on draw from restores of the store too."""
+"""Seeds from this one on also draw from ``NEWEST_TROUBLES``."""
 
 SPLIT_SEEDS = 700_000
-"""Seeds from here on draw from changes of a split's weights too."""
+"""Seeds from this one on also draw from ``SPLIT_TROUBLES``."""
 
 GAP_S = (0.1, 3.0)
 LAST_S = (0.5, 4.0)
@@ -35,13 +35,13 @@
 
 @attrs.frozen
 class Step:
-    """One trouble of a run.
+    """One scheduled trouble of a run.
 
     Attributes:
-        at: When it begins, seconds from the start of the troubles.
-        name: Its name.
-        for_s: How long it lasts, seconds.
-        seed: Seed of its own draws.
+        at: Begin, in seconds from the start of the troubles.
+        name: Name of the trouble.
+        for_s: Duration of a trouble that lasts until it is healed, in seconds.
+        seed: Seed of the trouble's own random draws.
     """
 
     at: float
@@ -58,7 +58,7 @@
 
 
 def make_plan(seed: int, length_s: float) -> Sequence[Step]:
-    """Returns the troubles of a seed, in the order of time.
+    """Returns the troubles of a seed, ordered by time.
 
     Examples:
         >>> make_plan(3, 20.0) == make_plan(3, 20.0)
--- a/notchhoist/testing/soak/promises.py
+++ b/notchhoist/testing/soak/promises.py
@@ -1,4 +1,4 @@
-"""What must hold at the end of a run, beside what the judge has seen."""
+"""Checks at the end of a run, beside those of the judge."""
 
 import json
 import urllib.error
@@ -10,16 +10,16 @@
 from notchhoist.testing.soak.fleet import Fleet
 
 SERVED_SHARE = 0.98
-"""Least share of the requests of the calm end that are answered."""
+"""Minimum share of answered requests in the calm phase at the end."""
 
 MEMORY_MB = 128.0
-"""Most memory of a daemon, from the target of the users."""
+"""Maximum resident memory of a daemon, a requirement of the users."""
 
 READ_S = 5.0
 
 
 def read_metric(daemon: Daemon, name: str) -> float | None:
-    """Returns a gauge of a daemon, or None where it cannot be read."""
+    """Returns the value of a daemon's gauge, or None if it is unreadable."""
     url = f"http://{daemon.own}:{METRICS_PORT}{METRICS_PATH}"
     try:
         with urllib.request.urlopen(url, timeout=READ_S) as answer:
@@ -33,7 +33,7 @@
 
 
 def versions(fleet: Fleet) -> Iterator[str]:
-    """Yields the balancers that have not got the newest configuration."""
+    """Yields a line for each balancer without the newest configuration."""
     for daemon in fleet.balancers:
         version = read_metric(daemon, "configuration_version")
         if version != fleet.version:
@@ -42,7 +42,7 @@
 
 
 def memory(fleet: Fleet) -> Iterator[str]:
-    """Yields the daemons that have grown too large."""
+    """Yields a line for each daemon that exceeds the memory limit."""
     for daemon in fleet.daemons:
         used = daemon.memory_mb()
         if used > MEMORY_MB:
@@ -50,7 +50,7 @@
 
 
 def logs(fleet: Fleet) -> Iterator[str]:
-    """Yields the daemons whose logs hold anything but JSON lines."""
+    """Yields the first line of each log that is not a JSON log record."""
     for daemon in fleet.daemons:
         for number, line in enumerate(
             daemon.log_path.read_bytes().split(b"\n")
@@ -68,7 +68,7 @@
 
 
 def served(asked: int, answered: int) -> Iterator[str]:
-    """Yields a line where too few of the calm end's requests were answered.
+    """Yields a line if too few requests of the calm phase were answered.
 
     Examples:
         >>> list(served(100, 99)), len(list(served(100, 50)))
--- a/notchhoist/testing/soak/routers.py
+++ b/notchhoist/testing/soak/routers.py
@@ -1,4 +1,4 @@
-"""Routers: hand callers' packets to balancers that say that they are ready."""
+"""Routers that forward callers' packets to ready balancers."""
 
 import zlib
 
@@ -16,7 +16,7 @@
 
 @attrs.define(eq=False)
 class _Entry:
-    """A balancer as the routers see it."""
+    """A balancer and the state of its readiness probe."""
 
     daemon: Daemon
     caller: HttpClient
@@ -26,23 +26,23 @@
 
 @attrs.define(eq=False)
 class Routers:
-    """Picks a balancer for each packet by a hash over those that are in.
+    """Picks a balancer for each packet by a hash over the ready ones.
 
     Attributes:
         loop: The event loop.
-        entries: The balancers.
+        entries: The balancers with their probe state.
     """
 
     loop: Loop
     entries: list[_Entry] = attrs.Factory(list)
 
     def add(self, daemon: Daemon) -> None:
-        """Adds a balancer."""
+        """Adds a balancer, which counts as not ready until a probe succeeds."""
         address = (daemon.own, addresses.READY_PORT)
         self.entries.append(_Entry(daemon, HttpClient(self.loop, address)))
 
     def probe(self) -> None:
-        """Asks every balancer whether it is ready, and goes on doing so."""
+        """Probes the readiness of every balancer, now and periodically."""
         for entry in self.entries:
             if not entry.asking:
                 self._ask(entry)
@@ -62,15 +62,19 @@
         entry.caller.get("/ready", PROBE_TIMEOUT_S, on_done, on_failed)
 
     def all_ready(self) -> bool:
-        """Tells whether every balancer is in."""
+        """Tells whether the last probe of every balancer succeeded."""
         return all(entry.misses == 0 for entry in self.entries)
 
     def pick(self, zone: str, ends: str) -> Daemon | None:
-        """Returns the balancer for a packet, or None where none is in.
+        """Returns the balancer for a packet, or None if none is ready.
+
+        Ready balancers of the caller's zone are preferred. If fewer than half
+        of the zone's balancers are ready, all of the zone are used; if none is,
+        the ready ones of all zones.
 
         Args:
             zone: Availability zone of the caller.
-            ends: Addresses and ports of the flow.
+            ends: Addresses and ports of the flow, the hash key.
         """
         near = [item for item in self.entries if item.daemon.zone == zone]
         ready = [item for item in near if item.misses < MISSES]
--- a/notchhoist/testing/soak/run.py
+++ b/notchhoist/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""The soak's command line: plays seeds and says what broke."""
+"""Command line of the soak test: runs seeds and prints violations."""
 
 import random
 import sys
@@ -21,30 +21,31 @@
 from notchhoist.testing.soak.troubles import ALL_TROUBLES
 
 READY_S = 20.0
-"""Time for the whole fleet to start, seconds."""
+"""Time limit for all balancers to become ready, seconds."""
 
 SETTLE_S = 6.0
-"""From the last heal to the calm end, seconds: bounds hold 4 s after a
-disruption, and a flow that nobody can find is given up within 1.6 s."""
+"""Time from the end of the last trouble to the calm phase, seconds. Time bounds
+hold from 4 s after a disruption, and a flow whose server is not found is
+abandoned within 1.6 s."""
 
 CALM_S = 4.0
 DRAINED_S = 10.0
-"""From the end of the traffic until the last deadline has passed, seconds; the
-longest is 8 s."""
+"""Time from the last request until every deadline has passed, seconds; the
+longest deadline is 8 s."""
 
 
 @attrs.frozen
 class Outcome:
-    """What came of a seed.
+    """Result of the run of a seed.
 
     Attributes:
-        seed: The seed.
-        steps: What went wrong, and when.
-        broken: What must not have happened.
-        asked: Requests.
-        answered: Those that were answered.
-        resets: Resets of open flows, by excuse.
-        lag_s: Longest turn of the loop, seconds.
+        seed: Seed of the run.
+        steps: The scheduled troubles.
+        broken: Violations of the rules.
+        asked: Number of requests.
+        answered: Number of answered requests.
+        resets: Number of resets of open flows, by excuse.
+        lag_s: Longest delay of the event loop, seconds.
     """
 
     seed: int
@@ -56,7 +57,7 @@
     lag_s: float
 
     def text(self) -> str:
-        """Returns it for people."""
+        """Returns the summary that is printed."""
         share = self.answered / self.asked if self.asked else 0.0
         lines = [
             f"seed {self.seed}: {len(self.steps)} troubles, "
@@ -73,7 +74,7 @@
 
 
 def _counts(fleet: Fleet) -> tuple[int, int]:
-    """Returns how many requests were made and how many answered."""
+    """Returns the numbers of requests and of answered ones."""
     tallies = fleet.judge.tallies.values()
     asked = sum(tally.asked for tally in tallies)
     return asked, sum(tally.in_time + tally.late for tally in tallies)
@@ -107,7 +108,7 @@
 
 
 def _settled_at(steps: Sequence[Step]) -> float:
-    """Returns when the last trouble is over, seconds."""
+    """Returns when the last trouble ends, seconds from the first begin."""
     return max((step.at + _lasts_s(step) for step in steps), default=0.0)
 
 
@@ -124,7 +125,7 @@
 
 
 def _play_calm_end(fleet: Fleet) -> None:
-    """Counts what is asked in the calm end, and whether it is answered."""
+    """Runs the calm phase, then the checks at the end of the run."""
     asked_before, _ = _counts(fleet)
     lost_before = _lost(fleet)
     fleet.run_until(fleet.loop.clock() + CALM_S)
@@ -139,7 +140,7 @@
 
 
 def _wait_for_outcomes(fleet: Fleet) -> None:
-    """Waits until every request has ended, in whatever way."""
+    """Waits until every request is answered, refused or failed."""
     ends_at = fleet.loop.clock() + DRAINED_S
     while fleet.loop.clock() < ends_at:
         asked, answered = _counts(fleet)
@@ -149,7 +150,7 @@
 
 
 def _lost(fleet: Fleet) -> int:
-    """Returns how many requests ended without an answer."""
+    """Returns the number of requests that failed or were refused."""
     tallies = fleet.judge.tallies.values()
     return sum(tally.failed + tally.refused for tally in tallies)
 
@@ -157,14 +158,14 @@
 def play(
     seed: int, length_s: float, folder: Path, per_zone: int = 1, factor: int = 1
 ) -> Outcome:
-    """Plays a seed.
+    """Runs the soak test with a seed.
 
     Args:
-        seed: Decides what goes wrong and when.
-        length_s: Length of the troubles, seconds.
-        folder: Where settings and logs go.
-        per_zone: Balancers in each zone.
-        factor: Factor on the number of backend servers.
+        seed: Determines the troubles and the traffic.
+        length_s: Length of the period in which troubles begin, seconds.
+        folder: Folder of settings files and logs.
+        per_zone: Number of balancers in each zone.
+        factor: Multiplier of the number of backend servers.
     """
     rng = random.Random(seed)
     block = Block(seed)
@@ -189,16 +190,17 @@
 @cappa.command(name="soak", description="Plays seeds with the real daemons.")
 @attrs.define
 class Command:
-    """The command line.
+    """Options of the command line.
 
     Attributes:
-        seed: First seed; a random one is drawn and printed without it.
-        count: How many seeds, one after the other.
-        seconds: Length of the troubles of each.
-        per_zone: Balancers in each of three zones.
-        factor: Factor on the nine backend servers.
-        folder: Where settings and logs go; a new temporary one without it.
-        regressions: Play the seeds that have ever failed, instead of others.
+        seed: First seed; a random one if negative.
+        count: Number of consecutive seeds.
+        seconds: Length of the period in which troubles begin, for each seed.
+        per_zone: Number of balancers in each of the three zones.
+        factor: Multiplier of the nine backend servers.
+        folder: Folder of settings files and logs; a new temporary one by
+            default.
+        regressions: Whether to run the regression seeds instead.
     """
 
     seed: Annotated[int, cappa.Arg(long=True)] = -1
@@ -210,7 +212,7 @@
     regressions: Annotated[bool, cappa.Arg(long=True)] = False
 
     def seeds(self) -> Sequence[int]:
-        """Returns the seeds to be played."""
+        """Returns the seeds to run."""
         if self.regressions:
             return tuple(REGRESSIONS)
         first = self.seed if self.seed >= 0 else random.randrange(10**6)
@@ -218,7 +220,7 @@
 
 
 def main() -> int:
-    """Entry point; status 1 where something broke that must hold."""
+    """Runs the command and returns exit status 1 on any violation."""
     command = cappa.parse(Command)
     parent = command.folder or Path(tempfile.mkdtemp(prefix="soak-"))
     print(f"logs in {parent}")
--- a/notchhoist/testing/soak/store_port.py
+++ b/notchhoist/testing/soak/store_port.py
@@ -1,4 +1,4 @@
-"""The store's model over HTTP, for real daemons."""
+"""Serves the store model over HTTP to real daemons."""
 
 import contextlib
 import http.server
@@ -11,13 +11,13 @@
 from notchhoist.testing.opaque.store import StoreModel
 
 POLL_S = 0.01
-"""How often a waiting watch looks for news, seconds."""
+"""Interval at which a waiting watch polls for changes, seconds."""
 
 
 def _wait_for_changes(
     model: StoreModel, query: dict[str, str], stopping: threading.Event
 ) -> tuple[int, bytes]:
-    """Answers a watch as soon as there is something, or when it ends."""
+    """Answers a watch at the first change or at its timeout."""
     ends_at = time.monotonic() + int(query["wait_ms"]) / 1000
     while True:
         status, body = model.read_changes(query)
@@ -29,20 +29,20 @@
 
 @contextlib.contextmanager
 def store_server(model: StoreModel, host: str) -> Iterator[int]:
-    """Serves a store model; gives the port that it listens at.
+    """Serves a store model and yields the port that it listens on.
 
-    Each call runs in a thread. The model is changed by one thread only, and
-    readers take what it has at that moment.
+    Each request runs in its own thread. Only one thread changes the model;
+    readers get its state at the time of the request.
     """
     stopping = threading.Event()
 
     class Handler(http.server.BaseHTTPRequestHandler):
-        """Answers one connection."""
+        """Handles the requests of one connection."""
 
         protocol_version = "HTTP/1.1"
 
         def do_GET(self) -> None:
-            """Answers a call."""
+            """Answers a range or a watch request."""
             parts = urlsplit(self.path)
             query = dict(parse_qsl(parts.query, keep_blank_values=True))
             model.calls += 1
@@ -59,15 +59,15 @@
                 self.wfile.write(body)
 
         def log_message(self, *_: Any) -> None:
-            """Logs nothing."""
+            """Suppresses the access log."""
 
     class Server(http.server.ThreadingHTTPServer):
-        """Says nothing of connections that callers break off."""
+        """Does not report connections that clients abort."""
 
         daemon_threads = True
 
         def handle_error(self, *_: Any) -> None:
-            """Ignores a broken connection: proxies break them on purpose."""
+            """Ignores aborted connections: proxies abort them on purpose."""
 
     server = Server((host, 0), Handler)
     thread = threading.Thread(target=server.serve_forever, daemon=True)
--- a/notchhoist/testing/soak/store_troubles.py
+++ b/notchhoist/testing/soak/store_troubles.py
@@ -1,4 +1,4 @@
-"""What can go wrong with the platform's store in a run."""
+"""Troubles of the platform's store."""
 
 import random
 from functools import partial
@@ -10,10 +10,10 @@
 from notchhoist.testing.soak.stream_proxy import StreamState
 
 RESTORE_S = (0.2, 2.0)
-"""How long a store is away before it comes back from a copy, seconds."""
+"""Range of the outage before a store is restored from a backup, seconds."""
 
 WRITTEN_AGAIN_S = (0.1, 1.8)
-"""Backend servers write again what is lost of them after this, seconds."""
+"""Range of the delay until a server repeats its lost entry, seconds."""
 
 
 def _store(fleet: Fleet, daemons: list[Daemon], state: StreamState) -> Heal:
@@ -28,7 +28,7 @@
 
 
 def store_gone(fleet: Fleet, rng: random.Random) -> Heal:
-    """Takes the store away from every balancer; some entries lapse."""
+    """Makes the store unreachable for all balancers; some entries expire."""
     state = rng.choice((StreamState.RESET, StreamState.SILENT))
     places = some(rng, fleet.ends.places, 0.3) if rng.random() < 0.5 else []
     for place in places:
@@ -46,38 +46,38 @@
 
 
 def store_partly_gone(fleet: Fleet, rng: random.Random) -> Heal:
-    """Takes the store away from some balancers."""
+    """Disturbs the path to the store for half of the balancers."""
     state = rng.choice(list(StreamState)[1:])
     return _store(fleet, some(rng, fleet.balancers, 0.5), state)
 
 
 def store_slow(fleet: Fleet, _: random.Random) -> Heal:
-    """Delays every answer of the store."""
+    """Delays every response of the store."""
     return _store(fleet, fleet.balancers, StreamState.SLOW)
 
 
 def connections_silent(fleet: Fleet, _: random.Random) -> Heal:
-    """Lets every open connection to the store go silent; new ones work."""
+    """Stalls every open connection to the store; new ones work."""
     for stream in fleet.streams.values():
         stream.silence_open()
     return nothing
 
 
 def connections_reset(fleet: Fleet, _: random.Random) -> Heal:
-    """Resets every open connection to the store."""
+    """Resets every open connection to the store; new ones work."""
     for stream in fleet.streams.values():
         stream.reset_open()
     return nothing
 
 
 def history_forgotten(fleet: Fleet, _: random.Random) -> Heal:
-    """Lets the store forget its history."""
+    """Compacts the store, which discards its history of changes."""
     fleet.store.compact()
     return nothing
 
 
 def store_restored(fleet: Fleet, rng: random.Random) -> Heal:
-    """Brings the store back from a copy that is as old as this lasts."""
+    """Restores the store from a backup taken when the trouble began."""
     copy = fleet.store.copy()
     away_s = rng.uniform(*RESTORE_S)
     state = rng.choice((StreamState.RESET, StreamState.SILENT))
@@ -100,7 +100,11 @@
 
 
 def _write_again(fleet: Fleet, copy: StoreCopy, rng: random.Random) -> None:
-    """Lets everybody write again what the store has lost of theirs."""
+    """Makes all writers repeat what the backup lacks.
+
+    Entries of the backup whose owner has gone are removed: an ended evacuation
+    at once, a server's entry when its lease expires.
+    """
     fleet.write_configuration()
     for zone in fleet.judge.evacuated:
         fleet.store.put(f"op/evacuate/{zone}", {})
--- a/notchhoist/testing/soak/stream_proxy.py
+++ b/notchhoist/testing/soak/stream_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy for connections to the store, with what may go wrong there."""
+"""A fault-injecting TCP proxy between the daemons and the store."""
 
 import enum
 import socket
@@ -13,14 +13,14 @@
 
 
 class StreamState(enum.Enum):
-    """What is wrong with a daemon's path to the store.
+    """Fault on a daemon's path to the store.
 
     Attributes:
-        WELL: Nothing.
-        RESET: Every connection is reset at once.
-        SILENT: Bytes are taken and never passed on, in either direction.
-        MUTE: Requests pass, answers do not: the path is cut one way.
-        SLOW: Every piece of an answer comes late.
+        WELL: No fault.
+        RESET: Every new connection is reset at once.
+        SILENT: Bytes are read and discarded, in both directions.
+        MUTE: Requests pass, responses do not: a one-way partition.
+        SLOW: Every chunk of a response is delayed.
     """
 
     WELL = "well"
@@ -31,12 +31,13 @@
 
 
 SLOW_S = 0.3
-"""Extra time of an answer on a slow path, seconds: 75 times the usual 4 ms."""
+"""Extra delay of a response on a slow path, seconds: 75 times the 4 ms of a
+normal response."""
 
 
 @attrs.define(eq=False)
 class _Pair:
-    """One connection and its counterpart at the store."""
+    """A daemon's connection and the proxy's own one to the store."""
 
     near: socket.socket
     far: socket.socket
@@ -45,14 +46,14 @@
 
 @attrs.define(eq=False)
 class StreamProxy:
-    """Passes on one daemon's connections to the store.
+    """Forwards one daemon's connections to the store.
 
     Attributes:
         loop: The event loop.
-        listener: Where the daemon connects.
-        store: The store itself.
-        state: What is wrong.
-        pairs: Open connections.
+        listener: Socket that the daemon connects to.
+        store: Address of the store itself.
+        state: Current fault of the path.
+        pairs: Open connections with their counterparts.
     """
 
     loop: Loop
@@ -62,11 +63,11 @@
     pairs: list[_Pair] = attrs.Factory(list)
 
     def accept(self) -> None:
-        """Takes a new connection."""
+        """Accepts a connection and opens its counterpart to the store."""
         try:
             near, _ = self.listener.accept()
         except OSError:
-            return  # It was broken off before it was taken.
+            return  # The connection was aborted before the accept.
         if self.state is StreamState.RESET:
             _reset(near)
             return
@@ -99,7 +100,7 @@
         if state is StreamState.SILENT or pair.silent:
             return
         if state is StreamState.MUTE and is_answer:
-            # The connection has lost bytes: it says nothing more.
+            # Bytes are missing from here on, so the connection stays silent.
             pair.silent = True
             return
         target = pair.near if is_answer else pair.far
@@ -123,7 +124,7 @@
             sock.close()
 
     def silence_open(self) -> None:
-        """Lets the open connections say nothing more; new ones work."""
+        """Stalls the open connections; new ones work."""
         for pair in self.pairs:
             pair.silent = True
 
@@ -137,7 +138,7 @@
             self.pairs.remove(pair)
 
     def close(self) -> None:
-        """Ends the proxy."""
+        """Closes all connections and the listener."""
         for pair in list(self.pairs):
             self._end(pair)
         self.loop.stop_watching(self.listener)
@@ -152,7 +153,7 @@
 def open_stream_proxy(
     loop: Loop, address: tuple[str, int], store: tuple[str, int]
 ) -> StreamProxy:
-    """Listens at an address for one daemon.
+    """Opens a proxy that listens on an address for one daemon.
 
     Raises:
         OSError: The address cannot be bound.
--- a/notchhoist/testing/soak/tests/__init__.py
+++ b/notchhoist/testing/soak/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak; see ``notchhoist.testing.soak``."""
+"""Tests of the soak test ``notchhoist.testing.soak``."""
--- a/notchhoist/testing/soak/tests/test_soak.py
+++ b/notchhoist/testing/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a short seeded run with real processes, and its parts."""
+"""Tests of the soak test's parts, and short runs with real processes."""
 
 import itertools
 
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("seed", [3, 600_816])
 def test_a_short_seed_breaks_nothing(seed, tmp_path):
-    """The second one restores the store while balancers stop in turn."""
+    """Seed 600816 restores the store during a rolling stop of balancers."""
     outcome = play(seed, SECONDS, tmp_path)
     assert not outcome.broken
     assert outcome.asked > 0
--- a/notchhoist/testing/soak/troubles.py
+++ b/notchhoist/testing/soak/troubles.py
@@ -1,4 +1,4 @@
-"""What can go wrong in a run: each trouble begins, lasts and heals."""
+"""Faults and planned operations that a run injects, by name."""
 
 import random
 from collections.abc import Callable
@@ -31,13 +31,13 @@
 
 HEARTBEAT_S = 1.2
 STRANGE: tuple[object, ...] = ({}, [], "x", {"service": 4}, {"state": "odd"})
-"""What another writer leaves in entries."""
+"""Malformed values that another writer puts into server entries."""
 
 LEAVE_S = 5.0
-"""A server that drains serves for this long, seconds."""
+"""Time from a server's announced drain until it exits, seconds."""
 
 ROLL_GAP_S = 2.6
-"""Pause between two planned stops, seconds; a balancer leaves within 1.8 s."""
+"""Pause between two planned stops, seconds; a balancer drains within 1.8 s."""
 
 LOSS = 0.1
 DELAY_S = 0.04
@@ -52,7 +52,7 @@
 
 
 def kill_agents(fleet: Fleet, rng: random.Random) -> Heal:
-    """Kills a third of the agents; their backend servers live on."""
+    """Kills a third of the agents; their backend servers keep running."""
     return _kill(fleet, some(rng, fleet.agents, 0.34), rng)
 
 
@@ -70,7 +70,7 @@
 
 
 def pause_some(fleet: Fleet, rng: random.Random) -> Heal:
-    """Lets a quarter of the daemons stand still."""
+    """Suspends a quarter of the daemons until healed."""
     daemons = some(rng, fleet.daemons, 0.25)
     for daemon in daemons:
         daemon.pause()
@@ -83,7 +83,7 @@
 
 
 def roll_balancers(fleet: Fleet, rng: random.Random) -> Heal:
-    """Stops the balancers one after the other, as planned."""
+    """Performs a rolling restart of the balancers."""
     order = rng.sample(fleet.balancers, len(fleet.balancers))
     for number, daemon in enumerate(order):
 
@@ -95,7 +95,7 @@
 
 
 def reload_all(fleet: Fleet, _: random.Random) -> Heal:
-    """Lets every daemon read its settings anew."""
+    """Makes every daemon reload its settings."""
     for daemon in fleet.daemons:
         daemon.reload(fleet.loop.clock())
     return nothing
@@ -107,7 +107,7 @@
 def _links(
     fleet: Fleet, daemons: list[Daemon], both: bool
 ) -> list[tuple[str, str]]:
-    """Returns the directions from some daemons to all others."""
+    """Returns the links from some daemons to all others, or both ways."""
     chosen = {daemon.known for daemon in daemons}
     others = [item.known for item in fleet.daemons if item.known not in chosen]
     links = [(one, other) for one in chosen for other in others]
@@ -126,22 +126,22 @@
 
 
 def cut_off(fleet: Fleet, rng: random.Random) -> Heal:
-    """Cuts a fifth of the daemons off from all others."""
+    """Isolates a fifth of the daemons from all others."""
     return _cut(fleet, _links(fleet, some(rng, fleet.daemons, 0.2), True))
 
 
 def cut_one_way(fleet: Fleet, rng: random.Random) -> Heal:
-    """Lets nothing out of a fifth of the daemons."""
+    """Drops all datagrams that a fifth of the daemons send to the others."""
     return _cut(fleet, _links(fleet, some(rng, fleet.daemons, 0.2), False))
 
 
 def split(fleet: Fleet, rng: random.Random) -> Heal:
-    """Cuts the fleet into halves."""
+    """Partitions the fleet into halves."""
     return _cut(fleet, _links(fleet, some(rng, fleet.daemons, 0.5), True))
 
 
 def lossy(fleet: Fleet, rng: random.Random) -> Heal:
-    """Loses and delays datagrams of half of the daemons."""
+    """Drops and delays datagrams between two halves of the daemons."""
     links = _links(fleet, some(rng, fleet.daemons, 0.5), True)
     for source, target in links:
         state = fleet.proxy.link(source, target)
@@ -156,7 +156,7 @@
 
 
 def garbage(fleet: Fleet, rng: random.Random) -> Heal:
-    """Sends bytes that mean nothing to every port of every daemon."""
+    """Sends malformed datagrams to every UDP port of every daemon."""
     sock = datagrams.open_socket((fleet.block.store(), 0))
     for daemon in fleet.daemons:
         for port in (*PORTS, addresses.PACKETS_PORT):
@@ -170,7 +170,7 @@
 
 
 def crash_servers(fleet: Fleet, rng: random.Random) -> Heal:
-    """Crashes backend servers; new ones start in their place."""
+    """Crashes a quarter of the backend servers; new ones replace them."""
     for place in some(rng, fleet.ends.places, 0.25):
         _crash(fleet, place, rng.uniform(0.2, 2.0))
     return nothing
@@ -192,7 +192,7 @@
 
 
 def power_off(fleet: Fleet, rng: random.Random) -> Heal:
-    """Takes the power from every host; everything starts anew."""
+    """Powers off every host; all daemons and servers start again."""
     down_s = rng.uniform(0.5, 1.5)
     for place in fleet.ends.places:
         _crash(fleet, place, down_s)
@@ -203,7 +203,7 @@
 
 
 def replace_servers(fleet: Fleet, rng: random.Random) -> Heal:
-    """Drains some backend servers; then new ones start in their place."""
+    """Drains a quarter of the backend servers; new ones replace them."""
     for place in some(rng, fleet.ends.places, 0.25):
         server = place.server
         if server is None or not server.alive or server.draining:
@@ -225,11 +225,11 @@
     fleet.loop.call_later(0.3, lambda: _start_again(fleet, place))
 
 
-# Zones, starts under one id, and other writers.
+# Zones, restarts under the same id, and other writers.
 
 
 def evacuate_zone(fleet: Fleet, rng: random.Random) -> Heal:
-    """Has a zone evacuated until it heals; it comes back warm."""
+    """Evacuates a zone until healed; it returns without slow start."""
     zone = rng.choice(ZONES)
     fleet.store.put(f"op/evacuate/{zone}", {})
     fleet.judge.evacuated[zone] = fleet.loop.clock()
@@ -242,7 +242,7 @@
 
 
 def restart_servers(fleet: Fleet, rng: random.Random) -> Heal:
-    """Ends a third of the servers; they start again under their ids."""
+    """Crashes a third of the servers; they restart under the same ids."""
     for place in some(rng, fleet.ends.places, 0.34):
         server = place.server
         if server is None or not server.alive:
@@ -256,7 +256,7 @@
 
 
 def strange_entries(fleet: Fleet, rng: random.Random) -> Heal:
-    """Lets another writer overwrite entries until their servers write again."""
+    """Overwrites server entries until the servers' next heartbeat."""
     for place in some(rng, fleet.ends.places, 0.34):
         if place.server is None:
             continue
@@ -268,13 +268,13 @@
 
 @attrs.frozen
 class Trouble:
-    """One thing that can go wrong.
+    """One kind of fault or planned operation.
 
     Attributes:
-        begin: Brings it about; gives what heals it.
-        planned: It is planned work: every bound of time holds.
-        lasts: It goes on until it is healed.
-        takes_s: How long it goes on by itself, seconds.
+        begin: Starts it and returns the function that heals it.
+        planned: Whether it is a planned operation: time bounds still hold.
+        lasts: Whether it lasts until it is healed.
+        takes_s: Minimum time that it takes, healed or not, seconds.
     """
 
     begin: Callable[[Fleet, random.Random], Heal]
@@ -314,8 +314,8 @@
     "restart-servers": Trouble(restart_servers),
     "strange-entries": Trouble(strange_entries, planned=True),
 }
-"""Seeds from ``plan.LATER_SEEDS`` on draw from these too; the plans of older
-seeds stay what they were."""
+"""Drawn only by seeds from ``plan.LATER_SEEDS`` on, so that the plans of lower
+seeds do not change."""
 
 NEWEST_TROUBLES = {"store-restored": Trouble(store_restored, lasts=True)}
 """Likewise, for seeds from ``plan.NEWEST_SEEDS`` on."""
