--- a/notchhoist/testing/soak/__init__.py
+++ b/notchhoist/testing/soak/__init__.py
@@ -13,11 +13,11 @@
 * ``store_port``: serves the store model over HTTP.
 * ``daemons``: settings files and processes of the daemons.
 * ``routers``: forward callers' packets to ready balancers.
-* ``ends``: callers and backend servers on real sockets.
+* ``endpoints``: callers and backend servers on real sockets.
 * ``fleet``: the daemons and everything around them.
 * ``troubles``: the troubles by name.
 * ``plan``: the schedule of troubles for a seed.
-* ``promises``: checks at the end of a run, beside those of the judge.
+* ``final_checks``: checks at the end of a run, beside those of the judge.
 * ``seeds``: regression seeds.
 * ``run``: the command line.
 
--- a/notchhoist/testing/soak/configuration_troubles.py
+++ b/notchhoist/testing/soak/configuration_troubles.py
@@ -4,20 +4,20 @@
 from functools import partial
 
 from notchhoist.testing.soak.fleet import SERVICES, WORKLOADS, Fleet
-from notchhoist.testing.soak.healing import Heal, nothing
+from notchhoist.testing.soak.healing import Heal, heal_nothing
 
-WEIGHT_TURNS = 3
-TURN_GAP_S = 0.15
+WEIGHT_CHANGES = 3
+WEIGHT_CHANGE_GAP_S = 0.15
 """Number of weight changes of a split, and the pause between two in seconds."""
 
-TURNS_S = WEIGHT_TURNS * TURN_GAP_S
+WEIGHT_CHANGES_S = WEIGHT_CHANGES * WEIGHT_CHANGE_GAP_S
 
 
 def change_configuration(fleet: Fleet, _: random.Random) -> Heal:
     """Publishes five versions in quick succession."""
     for number in range(5):
         fleet.loop.call_later(number * 0.1, fleet.publish)
-    return nothing
+    return heal_nothing
 
 
 def drop_route(fleet: Fleet, rng: random.Random) -> Heal:
@@ -33,16 +33,16 @@
     Healing publishes the route with its own service only.
     """
     workload = WORKLOADS[0]
-    for number in range(WEIGHT_TURNS):
+    for number in range(WEIGHT_CHANGES):
         weights = [rng.randint(0, 9) for _ in SERVICES]
         weights[number % len(weights)] += 1
         targets = tuple(zip(SERVICES, weights, strict=True))
-        turn = partial(fleet.split_route, workload, targets)
-        fleet.loop.call_later(number * TURN_GAP_S, turn)
+        publish_split = partial(fleet.split_route, workload, targets)
+        fleet.loop.call_later(number * WEIGHT_CHANGE_GAP_S, publish_split)
     daemon = rng.choice(fleet.balancers)
 
     def stop() -> None:
         daemon.stop(fleet.loop.clock())
 
-    fleet.loop.call_later(TURNS_S, stop)
+    fleet.loop.call_later(WEIGHT_CHANGES_S, stop)
     return partial(fleet.split_route, workload, ())
--- a/notchhoist/testing/soak/daemons.py
+++ b/notchhoist/testing/soak/daemons.py
@@ -12,13 +12,13 @@
 from notchhoist.platform.settings import PATH_VARIABLE
 from notchhoist.testing.soak import addresses
 
-RESTART_S = 0.2
+RESTART_DELAY_S = 0.2
 """Pause before an exited process is restarted, seconds."""
 
-GRACE_S = 6.0
+KILL_DELAY_S = 6.0
 """Time from SIGTERM to SIGKILL, seconds, as on the platform."""
 
-INTERPRETER_S = 0.5
+INTERPRETER_STARTUP_S = 0.5
 """On a busy machine the interpreter may need this long to reach the daemon's
 code, seconds. Until then SIGHUP terminates the process."""
 
@@ -32,14 +32,14 @@
     Attributes:
         name: Name of the host.
         zone: Name of its availability zone.
-        own: IP address that it binds.
-        known: IP address that it advertises to the others.
+        bound_ip: IP address that it binds.
+        advertised_ip: IP address that it advertises to the others.
         service: Service of the backend server beside it; empty on balancers.
         folder: Folder of its settings file and log.
         process: The process, or None while it is down.
         down_until: Earliest time of the next start, seconds.
-        killed_at: When a stopping process gets SIGKILL, seconds.
-        ending: Whether the run has killed or stopped the process.
+        kill_at: When a stopping process gets SIGKILL, seconds.
+        exit_expected: Whether the run has killed or stopped the process.
         starts: Number of processes started so far.
         started_at: When the process started, seconds.
         reload_at: When it was last asked to reload, seconds.
@@ -47,14 +47,14 @@
 
     name: str
     zone: str
-    own: str
-    known: str
+    bound_ip: str
+    advertised_ip: str
     service: str
     folder: Path
     process: subprocess.Popen[bytes] | None = None
     down_until: float = float("-inf")
-    killed_at: float = float("inf")
-    ending: bool = False
+    kill_at: float = float("inf")
+    exit_expected: bool = False
     starts: int = 0
     started_at: float = float("-inf")
     reload_at: float = float("-inf")
@@ -72,25 +72,27 @@
     def write_settings(self, seeds: list[str]) -> None:
         """Writes its settings file in the platform's format."""
         listen = {
-            "datagram_addr": f"{self.own}:{addresses.PACKETS_PORT}",
-            "ready": f"{self.own}:{addresses.READY_PORT}",
+            "datagram_addr": f"{self.bound_ip}:{addresses.PACKETS_PORT}",
+            "ready": f"{self.bound_ip}:{addresses.READY_PORT}",
         }
         settings: dict[str, object] = {
             "node": self.name,
             "serves": ["side"] if self.service else ["front", "control"],
-            "ip": self.known,
-            "bind_ip": self.own,
+            "ip": self.advertised_ip,
+            "bind_ip": self.bound_ip,
             "zone": self.zone,
             "listen": listen,
             "internal_ports": list(addresses.PEER_PORTS),
             "seeds": [f"{seed}:1" for seed in seeds],
             "bounds": {"drain_ms": 3000, "config_apply_ms": 3000, "grace_s": 6},
             "limits": {"link_mbps": 1000.0},
-            "platform": {"address": f"{self.known}:{addresses.STORE_PORT}"},
+            "platform": {
+                "address": f"{self.advertised_ip}:{addresses.STORE_PORT}"
+            },
         }
         if self.service:
-            listen["outbound"] = f"{self.own}:{addresses.OUTBOUND_PORT}"
-            settings["app"] = f"{self.own}:{addresses.SERVER_PORT}"
+            listen["outbound"] = f"{self.bound_ip}:{addresses.OUTBOUND_PORT}"
+            settings["app"] = f"{self.bound_ip}:{addresses.SERVER_PORT}"
             settings["service"] = self.service
         self.settings_path.write_text(json.dumps(settings))
 
@@ -102,24 +104,24 @@
             self.process = subprocess.Popen(
                 COMMAND, env=variables, stdout=log, stderr=log
             )
-        self.ending = False
-        self.killed_at = float("inf")
+        self.exit_expected = False
+        self.kill_at = float("inf")
         self.starts += 1
 
     def _signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def kill(self, now: float, down_s: float = RESTART_S) -> None:
+    def kill(self, now: float, down_s: float = RESTART_DELAY_S) -> None:
         """Sends SIGKILL; the process is restarted after a pause."""
-        self.ending = True
+        self.exit_expected = True
         self.down_until = max(self.down_until, now + down_s)
         self._signal(signal.SIGKILL)
 
     def stop(self, now: float) -> None:
         """Sends SIGTERM; the process is restarted after it exits."""
-        self.ending = True
-        self.killed_at = min(self.killed_at, now + GRACE_S)
+        self.exit_expected = True
+        self.kill_at = min(self.kill_at, now + KILL_DELAY_S)
         self._signal(signal.SIGTERM)
 
     def pause(self) -> None:
@@ -135,7 +137,7 @@
         self.reload_at = now
         self._signal(signal.SIGHUP)
 
-    def tend(self, now: float) -> int | None:
+    def supervise(self, now: float) -> int | None:
         """Restarts an exited process and kills one that does not stop.
 
         Returns:
@@ -145,21 +147,23 @@
             if now >= self.down_until:
                 self.start(now)
             return None
-        if now >= self.killed_at:
+        if now >= self.kill_at:
             self._signal(signal.SIGKILL)
         status = self.process.poll()
         if status is None:
             return None
-        unasked = not self.ending and not self._ended_by_reload(status)
+        unexpected = not self.exit_expected and not self._ended_by_reload(
+            status
+        )
         self.process = None
-        self.down_until = max(self.down_until, now + RESTART_S)
-        return status if unasked else None
+        self.down_until = max(self.down_until, now + RESTART_DELAY_S)
+        return status if unexpected else None
 
     def _ended_by_reload(self, status: int) -> bool:
-        early = self.reload_at - self.started_at < INTERPRETER_S
+        early = self.reload_at - self.started_at < INTERPRETER_STARTUP_S
         return status == -signal.SIGHUP and early
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Kills the process and does not restart it."""
         if self.process is None:
             return
--- a/notchhoist/testing/soak/datagram_proxy.py
+++ b/notchhoist/testing/soak/datagram_proxy.py
@@ -40,44 +40,44 @@
     Attributes:
         loop: The event loop.
         rng: Source of the draws that decide on loss.
-        known_by_own: Advertised address by bound address.
-        own_by_known: Bound address by advertised address.
+        advertised_by_bound: Advertised address by bound address.
+        bound_by_advertised: Bound address by advertised address.
         sockets: Sockets by advertised address and port.
         links: Faults by advertised addresses of sender and receiver.
-        passed: Number of datagrams forwarded.
+        forwarded: Number of datagrams forwarded.
         dropped: Number of datagrams lost, cut, or of unknown senders.
     """
 
     loop: Loop
     rng: random.Random
-    known_by_own: dict[str, str] = attrs.Factory(dict)
-    own_by_known: dict[str, str] = attrs.Factory(dict)
+    advertised_by_bound: dict[str, str] = attrs.Factory(dict)
+    bound_by_advertised: dict[str, str] = attrs.Factory(dict)
     sockets: dict[tuple[str, int], socket.socket] = attrs.Factory(dict)
     links: dict[tuple[str, str], LinkState] = attrs.Factory(dict)
-    passed: int = 0
+    forwarded: int = 0
     dropped: int = 0
 
-    def add(self, own: str, known: str) -> None:
+    def add(self, bound_ip: str, advertised_ip: str) -> None:
         """Binds a daemon's advertised address and forwards what arrives.
 
         Raises:
             OSError: The advertised address cannot be bound.
         """
-        self.known_by_own[own] = known
-        self.own_by_known[known] = own
+        self.advertised_by_bound[bound_ip] = advertised_ip
+        self.bound_by_advertised[advertised_ip] = bound_ip
         for port in PORTS:
-            sock = datagrams.open_socket((known, port))
-            self.sockets[known, port] = sock
-            read = partial(self._pass_on, known, port, sock)
+            sock = datagrams.open_socket((advertised_ip, port))
+            self.sockets[advertised_ip, port] = sock
+            read = partial(self._forward, advertised_ip, port, sock)
             self.loop.on_readable(sock, read)
 
     def link(self, source: str, target: str) -> LinkState:
         """Returns the mutable state of one direction."""
         return self.links.setdefault((source, target), LinkState())
 
-    def _pass_on(self, target: str, port: int, sock: socket.socket) -> None:
+    def _forward(self, target: str, port: int, sock: socket.socket) -> None:
         for data, (sender, _) in datagrams.receive_batch(sock):
-            source = self.known_by_own.get(sender)
+            source = self.advertised_by_bound.get(sender)
             if source is None:
                 self.dropped += 1
                 continue
@@ -95,8 +95,8 @@
     def _deliver(
         self, source: str, target: str, port: int, data: bytes
     ) -> None:
-        self.passed += 1
-        to = (self.own_by_known[target], port)
+        self.forwarded += 1
+        to = (self.bound_by_advertised[target], port)
         datagrams.send(self.sockets[source, port], data, to)
 
     def close(self) -> None:
--- a/notchhoist/testing/soak/ends.py
+++ b/notchhoist/testing/soak/endpoints.py
@@ -25,17 +25,17 @@
 from notchhoist.testing.soak.routers import Routers
 
 KEY = b"not told to the daemons"
-CALLERS_A_ZONE = 4
+CALLERS_PER_ZONE = 4
 DRAIN_S = 3.0
 """A draining server must get no new flow after this time, seconds."""
 
-COPIES_S = 0.7
+RETRANSMISSION_S = 0.7
 """Allowance for retransmissions, seconds: that of an opening packet arrives up
 to 0.6 s after the original."""
 
 
 @attrs.define(eq=False)
-class ServerPlace:
+class ServerHost:
     """A host with a backend server and an agent.
 
     Attributes:
@@ -57,7 +57,7 @@
     @property
     def ip(self) -> str:
         """IP address in its published entry."""
-        return self.daemon.known
+        return self.daemon.advertised_ip
 
     @property
     def zone(self) -> str:
@@ -66,7 +66,7 @@
 
 
 @attrs.define(eq=False)
-class Ends:
+class Endpoints:
     """All callers and backend servers of a run.
 
     Attributes:
@@ -76,9 +76,9 @@
         routers: Pick the balancers for callers' packets.
         requests: Kind of each request by its number.
         callers: Caller models by zone.
-        places: Hosts of backend servers.
+        server_hosts: Hosts of backend servers.
         sockets: The callers' sockets by IP address.
-        numbers: Number of servers started so far, for new ids.
+        servers_started: Number of servers started so far, for new ids.
         unrouted: Service ports whose routes are dropped.
     """
 
@@ -88,9 +88,9 @@
     routers: Routers
     requests: dict[int, Workload] = attrs.Factory(dict)
     callers: dict[str, CallerModel] = attrs.Factory(dict)
-    places: list[ServerPlace] = attrs.Factory(list)
+    server_hosts: list[ServerHost] = attrs.Factory(list)
     sockets: dict[str, socket.socket] = attrs.Factory(dict)
-    numbers: int = 0
+    servers_started: int = 0
     unrouted: set[int] = attrs.Factory(set)
 
     def _later(self, delay: float, action: object) -> None:
@@ -126,8 +126,9 @@
     def _is_alive(self, caller: Address, service: Address) -> bool:
         """Tells whether a flow is alive, so that a reset needs an excuse."""
         return service[1] not in self.unrouted and any(
-            place.server is not None and place.server.holds((caller, service))
-            for place in self.places
+            server_host.server is not None
+            and server_host.server.holds((caller, service))
+            for server_host in self.server_hosts
         )
 
     def _from_caller(self, zone: str, frame: Frame) -> None:
@@ -135,17 +136,17 @@
         if daemon is None:
             return
         raw = encode_frame(frame, KEY)
-        to = (daemon.own, addresses.PACKETS_PORT)
+        to = (daemon.bound_ip, addresses.PACKETS_PORT)
         datagrams.send(self.sockets[frame.src[0]], raw, to)
 
     def _to_caller(self, model: CallerModel, sock: socket.socket) -> None:
         for raw, _ in datagrams.receive_batch(sock):
             now = self.loop.clock()
-            frame = self._read(raw, "MIXED", now)
+            frame = self._decode(raw, "MIXED", now)
             if frame is not None:
                 model.on_frame(frame, now)
 
-    def _read(self, raw: bytes, rule: str, now: float) -> Frame | None:
+    def _decode(self, raw: bytes, rule: str, now: float) -> Frame | None:
         """Decodes a packet; a malformed or forged one violates a rule."""
         try:
             frame = decode_frame(raw)
@@ -159,92 +160,100 @@
         return frame
 
     def start_server(
-        self, place: ServerPlace, server_id: str = ""
+        self, server_host: ServerHost, server_id: str = ""
     ) -> ServerModel:
         """Starts a new incarnation of a backend server.
 
         Args:
-            place: Host of the server.
+            server_host: Host of the server.
             server_id: Id of the server; empty for a new one.
 
         Raises:
             OSError: Its address cannot be bound.
         """
-        self.numbers += 1
-        address = (place.daemon.own, addresses.SERVER_PORT)
+        self.servers_started += 1
+        address = (server_host.daemon.bound_ip, addresses.SERVER_PORT)
         packets = datagrams.open_socket(address)
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind(address)
         listener.listen()
-        to_agent = (place.daemon.own, addresses.OUTBOUND_PORT)
+        to_agent = (server_host.daemon.bound_ip, addresses.OUTBOUND_PORT)
         server = ServerModel(
-            server_id=server_id or f"i{self.numbers:05}",
-            service=place.daemon.service,
+            server_id=server_id or f"i{self.servers_started:05}",
+            service=server_host.daemon.service,
             rng=random.Random(self.rng.random()),
             judge=self.judge,
             send=lambda frame: self._send(packets, frame, to_agent),
             later=self._later,
             workloads=self.requests,
-            slots=place.slots,
+            slots=server_host.slots,
             started_at=self.loop.clock(),
-            zone=place.zone,
+            zone=server_host.zone,
         )
-        place.server = server
-        place.packets, place.listener = packets, listener
-        place.draining_since = float("inf")
-        self.loop.on_readable(packets, lambda: self._to_server(place, packets))
-        self.loop.on_readable(listener, lambda: _take_and_close(listener))
+        server_host.server = server
+        server_host.packets, server_host.listener = packets, listener
+        server_host.draining_since = float("inf")
+        self.loop.on_readable(
+            packets, lambda: self._to_server(server_host, packets)
+        )
+        self.loop.on_readable(listener, lambda: _accept_and_close(listener))
         return server
 
     def _send(self, sock: socket.socket, frame: Frame, to: Address) -> None:
         datagrams.send(sock, encode_frame(frame, KEY), to)
 
-    def _to_server(self, place: ServerPlace, sock: socket.socket) -> None:
+    def _to_server(self, server_host: ServerHost, sock: socket.socket) -> None:
         for raw, _ in datagrams.receive_batch(sock):
             now = self.loop.clock()
-            frame = self._read(raw, "UNASKED", now)
-            if frame is not None and place.server is not None:
-                self._check_leaving(place, place.server, frame, now)
-                place.server.on_frame(frame, now)
-
-    def _check_leaving(
-        self, place: ServerPlace, server: ServerModel, frame: Frame, now: float
+            frame = self._decode(raw, "UNASKED", now)
+            if frame is not None and server_host.server is not None:
+                self._check_draining(
+                    server_host, server_host.server, frame, now
+                )
+                server_host.server.on_frame(frame, now)
+
+    def _check_draining(
+        self,
+        server_host: ServerHost,
+        server: ServerModel,
+        frame: Frame,
+        now: float,
     ) -> None:
-        late = now - place.draining_since > DRAIN_S + COPIES_S
+        late = now - server_host.draining_since > DRAIN_S + RETRANSMISSION_S
         if frame.flags & SYN and late and self.judge.is_calm(now):
             text = f"{server.server_id} left long ago and gets a flow"
             self.judge.break_rule("DRAIN", text, now)
 
-    def end_server(self, place: ServerPlace) -> None:
+    def crash_server(self, server_host: ServerHost) -> None:
         """Stops a backend server abruptly, without a drain."""
-        if place.server is not None:
-            place.server.alive = False
-        for sock in (place.packets, place.listener):
+        if server_host.server is not None:
+            server_host.server.alive = False
+        for sock in (server_host.packets, server_host.listener):
             if sock is not None:
                 self.loop.stop_watching(sock)
                 sock.close()
-        place.packets = place.listener = None
+        server_host.packets = server_host.listener = None
 
     def tick(self, now: float) -> None:
         """Sends the retransmissions that are due."""
         for model in self.callers.values():
             model.tick(now)
-        for place in self.places:
-            if place.server is not None and place.server.alive:
-                place.server.tick(now)
+        for server_host in self.server_hosts:
+            if server_host.server is not None and server_host.server.alive:
+                server_host.server.tick(now)
 
     def close(self) -> None:
         """Stops all servers and closes all sockets."""
-        for place in self.places:
-            self.end_server(place)
+        for server_host in self.server_hosts:
+            self.crash_server(server_host)
         for sock in self.sockets.values():
             self.loop.stop_watching(sock)
             sock.close()
 
 
-def _take_and_close(listener: socket.socket) -> None:
+def _accept_and_close(listener: socket.socket) -> None:
     """Accepts a connection of a liveness check and closes it."""
     try:
         sock, _ = listener.accept()
--- a/notchhoist/testing/soak/promises.py
+++ b/notchhoist/testing/soak/final_checks.py
@@ -9,20 +9,20 @@
 from notchhoist.testing.soak.daemons import Daemon
 from notchhoist.testing.soak.fleet import Fleet
 
-SERVED_SHARE = 0.98
+MIN_ANSWERED_SHARE = 0.98
 """Minimum share of answered requests in the calm phase at the end."""
 
-MEMORY_MB = 128.0
+MAX_MEMORY_MB = 128.0
 """Maximum resident memory of a daemon, a requirement of the users."""
 
-READ_S = 5.0
+METRICS_TIMEOUT_S = 5.0
 
 
 def read_metric(daemon: Daemon, name: str) -> float | None:
     """Returns the value of a daemon's gauge, or None if it is unreadable."""
-    url = f"http://{daemon.own}:{METRICS_PORT}{METRICS_PATH}"
+    url = f"http://{daemon.bound_ip}:{METRICS_PORT}{METRICS_PATH}"
     try:
-        with urllib.request.urlopen(url, timeout=READ_S) as answer:
+        with urllib.request.urlopen(url, timeout=METRICS_TIMEOUT_S) as answer:
             lines = answer.read().decode().splitlines()
     except (OSError, urllib.error.HTTPError):
         return None
@@ -32,7 +32,7 @@
     return None
 
 
-def versions(fleet: Fleet) -> Iterator[str]:
+def check_versions(fleet: Fleet) -> Iterator[str]:
     """Yields a line for each balancer without the newest configuration."""
     for daemon in fleet.balancers:
         version = read_metric(daemon, "configuration_version")
@@ -41,15 +41,15 @@
             yield f"CONFIG: {daemon.name} {text}"
 
 
-def memory(fleet: Fleet) -> Iterator[str]:
+def check_memory(fleet: Fleet) -> Iterator[str]:
     """Yields a line for each daemon that exceeds the memory limit."""
     for daemon in fleet.daemons:
         used = daemon.memory_mb()
-        if used > MEMORY_MB:
+        if used > MAX_MEMORY_MB:
             yield f"MEMORY: {daemon.name} uses {used:.0f} MB"
 
 
-def logs(fleet: Fleet) -> Iterator[str]:
+def check_logs(fleet: Fleet) -> Iterator[str]:
     """Yields the first line of each log that is not a JSON log record."""
     for daemon in fleet.daemons:
         for number, line in enumerate(
@@ -67,12 +67,12 @@
         return False
 
 
-def served(asked: int, answered: int) -> Iterator[str]:
+def check_answered(asked: int, answered: int) -> Iterator[str]:
     """Yields a line if too few requests of the calm phase were answered.
 
     Examples:
-        >>> list(served(100, 99)), len(list(served(100, 50)))
+        >>> list(check_answered(100, 99)), len(list(check_answered(100, 50)))
         ([], 1)
     """
-    if asked and answered < SERVED_SHARE * asked:
+    if asked and answered < MIN_ANSWERED_SHARE * asked:
         yield f"RECOVER: {answered} of {asked} answered at the end"
--- a/notchhoist/testing/soak/fleet.py
+++ b/notchhoist/testing/soak/fleet.py
@@ -17,7 +17,11 @@
 from notchhoist.testing.soak.addresses import Block
 from notchhoist.testing.soak.daemons import Daemon
 from notchhoist.testing.soak.datagram_proxy import DatagramProxy
-from notchhoist.testing.soak.ends import CALLERS_A_ZONE, Ends, ServerPlace
+from notchhoist.testing.soak.endpoints import (
+    CALLERS_PER_ZONE,
+    Endpoints,
+    ServerHost,
+)
 from notchhoist.testing.soak.routers import Routers
 from notchhoist.testing.soak.stream_proxy import StreamProxy, open_stream_proxy
 
@@ -26,16 +30,16 @@
 """Number of backend servers of each service in each zone."""
 
 SLOTS = 3
-APPLY_S = 3.0
+PROPAGATION_S = 3.0
 """Propagation deadline of a configuration, seconds."""
 
-LAPSE_S = 3.6
+ENTRY_LEASE_S = 3.6
 """Lease of a server's entry, seconds: three missed heartbeats of 1.2 s."""
 
-TICK_S = 0.02
-TEND_S = 0.05
-SEEDS = 3
-LAG_S = 0.25
+TICK_INTERVAL_S = 0.02
+SUPERVISE_INTERVAL_S = 0.05
+SEED_BALANCERS = 3
+MAX_LAG_S = 0.25
 """An iteration of the event loop that is delayed by more than this many seconds
 counts as a disruption, as it stalls the whole environment of the daemons. Half
 of the time that a balancer waits for an agent."""
@@ -73,15 +77,15 @@
         store_port: Port of the store itself.
         proxy: Forwards datagrams between daemons.
         routers: Pick the balancers for callers' packets.
-        ends: Callers and backend servers.
+        endpoints: Callers and backend servers.
         balancers: Daemons on entry hosts, without a backend server.
         streams: Proxy between each balancer and the store, by its name.
         version: Newest version of the configuration.
-        troubled: Faults in progress, by name; while there are any, time
+        active_faults: Faults in progress, by name; while there are any, time
             bounds do not hold.
         drops: Number of current troubles that drop a route, by port.
         splits: Services with weights of split routes, by port.
-        asking: Whether callers send requests.
+        traffic_on: Whether callers send requests.
         lag_s: Longest delay of the event loop so far, seconds.
         ticked_at: When ``_tick`` last ran, seconds.
     """
@@ -97,21 +101,21 @@
     judge: Judge = attrs.Factory(Judge)
     proxy: DatagramProxy = attrs.field(init=False)
     routers: Routers = attrs.field(init=False)
-    ends: Ends = attrs.field(init=False)
+    endpoints: Endpoints = attrs.field(init=False)
     balancers: list[Daemon] = attrs.Factory(list)
     streams: dict[str, StreamProxy] = attrs.Factory(dict)
     version: int = 0
-    troubled: set[str] = attrs.Factory(set)
+    active_faults: set[str] = attrs.Factory(set)
     drops: Counter[int] = attrs.Factory(Counter)
     splits: dict[int, tuple[tuple[str, int], ...]] = attrs.Factory(dict)
-    asking: bool = False
+    traffic_on: bool = False
     lag_s: float = 0.0
     ticked_at: float = float("inf")
 
     def __attrs_post_init__(self) -> None:
         self.proxy = DatagramProxy(self.loop, random.Random(self.rng.random()))
         self.routers = Routers(self.loop)
-        self.ends = Ends(
+        self.endpoints = Endpoints(
             self.loop,
             random.Random(self.rng.random()),
             self.judge,
@@ -121,7 +125,9 @@
     @property
     def agents(self) -> list[Daemon]:
         """Daemons on the hosts of backend servers."""
-        return [place.daemon for place in self.ends.places]
+        return [
+            server_host.daemon for server_host in self.endpoints.server_hosts
+        ]
 
     @property
     def daemons(self) -> list[Daemon]:
@@ -144,60 +150,66 @@
                     self._add_server(zone_number, number, service)
                     number += 1
             hosts = [
-                self.block.caller(zone_number, item)
-                for item in range(CALLERS_A_ZONE)
+                self.block.caller_ip(zone_number, item)
+                for item in range(CALLERS_PER_ZONE)
             ]
-            self.ends.add_callers(zone, hosts)
+            self.endpoints.add_callers(zone, hosts)
         self.publish()
-        seeds = [daemon.known for daemon in self.balancers[:SEEDS]]
+        seeds = [
+            daemon.advertised_ip for daemon in self.balancers[:SEED_BALANCERS]
+        ]
         for daemon in self.daemons:
             daemon.write_settings(seeds)
-        self._tend()
+        self._supervise()
         self._tick()
         self.routers.probe()
 
-    def _daemon(self, zone: int, number: int, service: str) -> Daemon:
+    def _create_daemon(self, zone: int, number: int, service: str) -> Daemon:
         daemon = Daemon(
             name=f"{service or 'entry'}-{zone}-{number}",
             zone=ZONES[zone],
-            own=self.block.own(zone, number),
-            known=self.block.known(zone, number),
+            bound_ip=self.block.bound_ip(zone, number),
+            advertised_ip=self.block.advertised_ip(zone, number),
             service=service,
             folder=self.folder,
         )
-        self.proxy.add(daemon.own, daemon.known)
+        self.proxy.add(daemon.bound_ip, daemon.advertised_ip)
         return daemon
 
     def _add_balancer(self, zone: int, number: int) -> None:
-        daemon = self._daemon(zone, number, "")
+        daemon = self._create_daemon(zone, number, "")
         self.balancers.append(daemon)
         self.routers.add(daemon)
         self.streams[daemon.name] = open_stream_proxy(
             self.loop,
-            (daemon.known, addresses.STORE_PORT),
-            (self.block.store(), self.store_port),
+            (daemon.advertised_ip, addresses.STORE_PORT),
+            (self.block.store_ip(), self.store_port),
         )
 
     def _add_server(self, zone: int, number: int, service: str) -> None:
-        place = ServerPlace(self._daemon(zone, number, service), SLOTS)
-        self.ends.places.append(place)
-        self.start_server(place)
+        server_host = ServerHost(
+            self._create_daemon(zone, number, service), SLOTS
+        )
+        self.endpoints.server_hosts.append(server_host)
+        self.start_server(server_host)
 
-    def start_server(self, place: ServerPlace, server_id: str = "") -> None:
+    def start_server(
+        self, server_host: ServerHost, server_id: str = ""
+    ) -> None:
         """Starts a backend server and writes its entry.
 
         Args:
-            place: Host of the server.
+            server_host: Host of the server.
             server_id: Id of the server; empty for a new one.
         """
-        self.ends.start_server(place, server_id)
-        self.announce(place)
+        self.endpoints.start_server(server_host, server_id)
+        self.announce(server_host)
 
-    def announce(self, place: ServerPlace) -> None:
+    def announce(self, server_host: ServerHost) -> None:
         """Writes a server's entry into the store if it is alive."""
-        server = place.server
+        server = server_host.server
         if server is not None and server.alive:
-            entry = published.entry_of(place, server, self.loop.clock())
+            entry = published.entry_of(server_host, server, self.loop.clock())
             self.store.put(f"servers/{server.server_id}", entry)
 
     def publish(self) -> None:
@@ -226,18 +238,18 @@
     def drop_route(self, port: int) -> None:
         """Drops a route; its callers send no requests until it is restored."""
         self.drops[port] += 1
-        self.ends.unrouted.add(port)
+        self.endpoints.unrouted.add(port)
         self.publish()
 
     def restore_route(self, port: int) -> None:
-        """Undoes one drop; callers resume ``APPLY_S`` after the last one."""
+        """Undoes one drop; callers resume after the last one has propagated."""
         self.drops[port] -= 1
         self.publish()
-        self.loop.call_later(APPLY_S, lambda: self._use_again(port))
+        self.loop.call_later(PROPAGATION_S, lambda: self._resume_route(port))
 
-    def _use_again(self, port: int) -> None:
+    def _resume_route(self, port: int) -> None:
         if not self.drops[port]:
-            self.ends.unrouted.discard(port)
+            self.endpoints.unrouted.discard(port)
 
     def disturb(self) -> None:
         """Records an unplanned disruption at the present time."""
@@ -245,40 +257,40 @@
 
     def begin_traffic(self) -> None:
         """Starts Poisson arrivals of requests for each workload."""
-        self.asking = True
+        self.traffic_on = True
         for workload in WORKLOADS:
-            self._ask_later(workload)
+            self._schedule_request(workload)
 
-    def _ask_later(self, workload: Workload) -> None:
+    def _schedule_request(self, workload: Workload) -> None:
         pause = self.rng.expovariate(workload.per_s)
-        self.loop.call_later(pause, partial(self._ask, workload))
+        self.loop.call_later(pause, partial(self._send_request, workload))
 
-    def _ask(self, workload: Workload) -> None:
-        if not self.asking:
+    def _send_request(self, workload: Workload) -> None:
+        if not self.traffic_on:
             return
-        if workload.port not in self.ends.unrouted:
+        if workload.port not in self.endpoints.unrouted:
             zone = self.rng.choice(ZONES)
-            self.ends.callers[zone].ask(workload, self.loop.clock())
-        self._ask_later(workload)
+            self.endpoints.callers[zone].ask(workload, self.loop.clock())
+        self._schedule_request(workload)
 
     def _tick(self) -> None:
         now = self.loop.clock()
-        lag = now - self.ticked_at - TICK_S
+        lag = now - self.ticked_at - TICK_INTERVAL_S
         self.ticked_at = now
         self.lag_s = max(self.lag_s, lag)
-        if self.troubled or lag > LAG_S:
+        if self.active_faults or lag > MAX_LAG_S:
             self.disturb()
-        self.ends.tick(now)
-        self.loop.call_later(TICK_S, self._tick)
+        self.endpoints.tick(now)
+        self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    def _tend(self) -> None:
+    def _supervise(self) -> None:
         now = self.loop.clock()
         for daemon in self.daemons:
-            status = daemon.tend(now)
+            status = daemon.supervise(now)
             if status is not None:
                 text = f"{daemon.name} ended by itself with {status}"
                 self.judge.break_rule("EXIT", text, now)
-        self.loop.call_later(TEND_S, self._tend)
+        self.loop.call_later(SUPERVISE_INTERVAL_S, self._supervise)
 
     def run_until(self, when: float) -> None:
         """Runs the event loop until a time."""
@@ -289,8 +301,8 @@
     def close(self) -> None:
         """Kills all daemons and closes all sockets."""
         for daemon in self.daemons:
-            daemon.end()
-        self.ends.close()
+            daemon.shut_down()
+        self.endpoints.close()
         self.proxy.close()
         for stream in self.streams.values():
             stream.close()
--- a/notchhoist/testing/soak/plan.py
+++ b/notchhoist/testing/soak/plan.py
@@ -17,7 +17,7 @@
 """Share of the seeds with planned operations only, in whose runs every time
 bound holds throughout."""
 
-SERIES_SHARE = 0.3
+REPEAT_SHARE = 0.3
 """Share of the troubles that occur twice in a row."""
 
 LATER_SEEDS = 500_000
@@ -30,7 +30,7 @@
 """Seeds from this one on also draw from ``SPLIT_TROUBLES``."""
 
 GAP_S = (0.1, 3.0)
-LAST_S = (0.5, 4.0)
+DURATION_S = (0.5, 4.0)
 
 
 @attrs.frozen
@@ -40,13 +40,13 @@
     Attributes:
         at: Begin, in seconds from the start of the troubles.
         name: Name of the trouble.
-        for_s: Duration of a trouble that lasts until it is healed, in seconds.
+        duration_s: Time until it is healed if it lasts, in seconds.
         seed: Seed of the trouble's own random draws.
     """
 
     at: float
     name: str
-    for_s: float
+    duration_s: float
     seed: float
 
 
@@ -78,9 +78,9 @@
     at = rng.uniform(*GAP_S)
     while at < length_s:
         name = rng.choice(names)
-        times = 2 if rng.random() < SERIES_SHARE else 1
+        times = 2 if rng.random() < REPEAT_SHARE else 1
         for _ in range(times):
-            for_s = rng.uniform(*LAST_S)
-            steps.append(Step(at, name, for_s, rng.random()))
+            duration_s = rng.uniform(*DURATION_S)
+            steps.append(Step(at, name, duration_s, rng.random()))
             at += rng.uniform(*GAP_S)
     return [step for step in steps if step.at < length_s]
--- a/notchhoist/testing/soak/routers.py
+++ b/notchhoist/testing/soak/routers.py
@@ -9,19 +9,19 @@
 from notchhoist.testing.soak import addresses
 from notchhoist.testing.soak.daemons import Daemon
 
-PROBE_S = 0.5
+PROBE_INTERVAL_S = 0.5
 PROBE_TIMEOUT_S = 0.4
-MISSES = 2
+MAX_MISSES = 2
 
 
 @attrs.define(eq=False)
-class _Entry:
+class _ProbedBalancer:
     """A balancer and the state of its readiness probe."""
 
     daemon: Daemon
-    caller: HttpClient
-    misses: int = MISSES
-    asking: bool = False
+    client: HttpClient
+    misses: int = MAX_MISSES
+    probing: bool = False
 
 
 @attrs.define(eq=False)
@@ -34,38 +34,40 @@
     """
 
     loop: Loop
-    entries: list[_Entry] = attrs.Factory(list)
+    entries: list[_ProbedBalancer] = attrs.Factory(list)
 
     def add(self, daemon: Daemon) -> None:
         """Adds a balancer, which counts as not ready until a probe succeeds."""
-        address = (daemon.own, addresses.READY_PORT)
-        self.entries.append(_Entry(daemon, HttpClient(self.loop, address)))
+        address = (daemon.bound_ip, addresses.READY_PORT)
+        self.entries.append(
+            _ProbedBalancer(daemon, HttpClient(self.loop, address))
+        )
 
     def probe(self) -> None:
         """Probes the readiness of every balancer, now and periodically."""
         for entry in self.entries:
-            if not entry.asking:
-                self._ask(entry)
-        self.loop.call_later(PROBE_S, self.probe)
+            if not entry.probing:
+                self._probe_one(entry)
+        self.loop.call_later(PROBE_INTERVAL_S, self.probe)
 
-    def _ask(self, entry: _Entry) -> None:
-        entry.asking = True
+    def _probe_one(self, entry: _ProbedBalancer) -> None:
+        entry.probing = True
 
         def on_done(status: int, _: bytes) -> None:
-            entry.asking = False
+            entry.probing = False
             entry.misses = 0 if status == 200 else entry.misses + 1
 
         def on_failed(_: str) -> None:
-            entry.asking = False
+            entry.probing = False
             entry.misses += 1
 
-        entry.caller.get("/ready", PROBE_TIMEOUT_S, on_done, on_failed)
+        entry.client.get("/ready", PROBE_TIMEOUT_S, on_done, on_failed)
 
     def all_ready(self) -> bool:
         """Tells whether the last probe of every balancer succeeded."""
         return all(entry.misses == 0 for entry in self.entries)
 
-    def pick(self, zone: str, ends: str) -> Daemon | None:
+    def pick(self, zone: str, flow_key: str) -> Daemon | None:
         """Returns the balancer for a packet, or None if none is ready.
 
         Ready balancers of the caller's zone are preferred. If fewer than half
@@ -74,14 +76,14 @@
 
         Args:
             zone: Availability zone of the caller.
-            ends: Addresses and ports of the flow, the hash key.
+            flow_key: Addresses and ports of the flow, the hash key.
         """
-        near = [item for item in self.entries if item.daemon.zone == zone]
-        ready = [item for item in near if item.misses < MISSES]
+        local = [item for item in self.entries if item.daemon.zone == zone]
+        ready = [item for item in local if item.misses < MAX_MISSES]
         if not ready:
-            ready = [item for item in self.entries if item.misses < MISSES]
-        elif len(ready) * 2 < len(near):
-            ready = near
+            ready = [item for item in self.entries if item.misses < MAX_MISSES]
+        elif len(ready) * 2 < len(local):
+            ready = local
         if not ready:
             return None
-        return ready[zlib.crc32(ends.encode()) % len(ready)].daemon
+        return ready[zlib.crc32(flow_key.encode()) % len(ready)].daemon
--- a/notchhoist/testing/soak/run.py
+++ b/notchhoist/testing/soak/run.py
@@ -12,7 +12,7 @@
 import cappa
 
 from notchhoist.testing.opaque.store import StoreModel
-from notchhoist.testing.soak import promises
+from notchhoist.testing.soak import final_checks
 from notchhoist.testing.soak.addresses import Block
 from notchhoist.testing.soak.fleet import Fleet
 from notchhoist.testing.soak.plan import Step, make_plan
@@ -20,7 +20,7 @@
 from notchhoist.testing.soak.store_port import store_server
 from notchhoist.testing.soak.troubles import ALL_TROUBLES
 
-READY_S = 20.0
+READY_TIMEOUT_S = 20.0
 """Time limit for all balancers to become ready, seconds."""
 
 SETTLE_S = 6.0
@@ -29,7 +29,7 @@
 abandoned within 1.6 s."""
 
 CALM_S = 4.0
-DRAINED_S = 10.0
+OUTCOMES_TIMEOUT_S = 10.0
 """Time from the last request until every deadline has passed, seconds; the
 longest deadline is 8 s."""
 
@@ -67,20 +67,20 @@
         lines.extend(f"  BROKEN {item}" for item in self.broken[:10])
         if self.broken:
             lines.extend(
-                f"  {step.at:6.2f} s {step.name} for {step.for_s:.1f} s"
+                f"  {step.at:6.2f} s {step.name} for {step.duration_s:.1f} s"
                 for step in self.steps
             )
         return "\n".join(lines)
 
 
-def _counts(fleet: Fleet) -> tuple[int, int]:
+def _count_requests(fleet: Fleet) -> tuple[int, int]:
     """Returns the numbers of requests and of answered ones."""
     tallies = fleet.judge.tallies.values()
     asked = sum(tally.asked for tally in tallies)
     return asked, sum(tally.in_time + tally.late for tally in tallies)
 
 
-def _begin(fleet: Fleet, step: Step) -> None:
+def _begin_trouble(fleet: Fleet, step: Step) -> None:
     trouble = ALL_TROUBLES[step.name]
     if not trouble.planned:
         fleet.disturb()
@@ -89,17 +89,17 @@
         return
     token = f"{step.name} {step.at}"
     if not trouble.planned:
-        fleet.troubled.add(token)
+        fleet.active_faults.add(token)
 
     def end() -> None:
         heal()
-        fleet.troubled.discard(token)
+        fleet.active_faults.discard(token)
 
-    fleet.loop.call_later(step.for_s, end)
+    fleet.loop.call_later(step.duration_s, end)
 
 
 def _wait_ready(fleet: Fleet) -> None:
-    ends_at = fleet.loop.clock() + READY_S
+    ends_at = fleet.loop.clock() + READY_TIMEOUT_S
     while fleet.loop.clock() < ends_at and not fleet.routers.all_ready():
         fleet.run_until(fleet.loop.clock() + 0.1)
     if not fleet.routers.all_ready():
@@ -107,55 +107,58 @@
         fleet.judge.break_rule("START", "not all balancers are ready", now)
 
 
-def _settled_at(steps: Sequence[Step]) -> float:
+def _last_trouble_ends_at(steps: Sequence[Step]) -> float:
     """Returns when the last trouble ends, seconds from the first begin."""
-    return max((step.at + _lasts_s(step) for step in steps), default=0.0)
+    return max((step.at + _duration_s(step) for step in steps), default=0.0)
 
 
-def _lasts_s(step: Step) -> float:
+def _duration_s(step: Step) -> float:
     trouble = ALL_TROUBLES[step.name]
-    return max(trouble.takes_s, step.for_s if trouble.lasts else 0.0)
+    return max(trouble.takes_s, step.duration_s if trouble.lasts else 0.0)
 
 
-def _play_troubles(fleet: Fleet, steps: Sequence[Step]) -> None:
+def _run_troubles(fleet: Fleet, steps: Sequence[Step]) -> None:
     for step in steps:
-        fleet.loop.call_later(step.at, partial(_begin, fleet, step))
-    over_at = fleet.loop.clock() + _settled_at(steps)
+        fleet.loop.call_later(step.at, partial(_begin_trouble, fleet, step))
+    over_at = fleet.loop.clock() + _last_trouble_ends_at(steps)
     fleet.run_until(over_at + SETTLE_S)
 
 
-def _play_calm_end(fleet: Fleet) -> None:
+def _run_calm_phase(fleet: Fleet) -> None:
     """Runs the calm phase, then the checks at the end of the run."""
-    asked_before, _ = _counts(fleet)
-    lost_before = _lost(fleet)
+    asked_before, _ = _count_requests(fleet)
+    lost_before = _count_unanswered(fleet)
     fleet.run_until(fleet.loop.clock() + CALM_S)
-    asked = _counts(fleet)[0] - asked_before
-    fleet.asking = False
-    for line in (*promises.versions(fleet), *promises.memory(fleet)):
+    asked = _count_requests(fleet)[0] - asked_before
+    fleet.traffic_on = False
+    for line in (
+        *final_checks.check_versions(fleet),
+        *final_checks.check_memory(fleet),
+    ):
         fleet.judge.break_rule("END", line, fleet.loop.clock())
     _wait_for_outcomes(fleet)
-    lost = _lost(fleet) - lost_before
-    for line in promises.served(asked, asked - lost):
+    lost = _count_unanswered(fleet) - lost_before
+    for line in final_checks.check_answered(asked, asked - lost):
         fleet.judge.break_rule("END", line, fleet.loop.clock())
 
 
 def _wait_for_outcomes(fleet: Fleet) -> None:
     """Waits until every request is answered, refused or failed."""
-    ends_at = fleet.loop.clock() + DRAINED_S
+    ends_at = fleet.loop.clock() + OUTCOMES_TIMEOUT_S
     while fleet.loop.clock() < ends_at:
-        asked, answered = _counts(fleet)
-        if asked == answered + _lost(fleet):
+        asked, answered = _count_requests(fleet)
+        if asked == answered + _count_unanswered(fleet):
             return
         fleet.run_until(fleet.loop.clock() + 0.1)
 
 
-def _lost(fleet: Fleet) -> int:
+def _count_unanswered(fleet: Fleet) -> int:
     """Returns the number of requests that failed or were refused."""
     tallies = fleet.judge.tallies.values()
     return sum(tally.failed + tally.refused for tally in tallies)
 
 
-def play(
+def run_seed(
     seed: int, length_s: float, folder: Path, per_zone: int = 1, factor: int = 1
 ) -> Outcome:
     """Runs the soak test with a seed.
@@ -171,18 +174,18 @@
     block = Block(seed)
     model = StoreModel(random.Random(rng.random()))
     steps = make_plan(seed, length_s)
-    with store_server(model, block.store()) as port:
+    with store_server(model, block.store_ip()) as port:
         fleet = Fleet(rng, block, folder, port, model, per_zone, factor)
         try:
             fleet.build()
             _wait_ready(fleet)
             fleet.begin_traffic()
-            _play_troubles(fleet, steps)
-            _play_calm_end(fleet)
+            _run_troubles(fleet, steps)
+            _run_calm_phase(fleet)
         finally:
             fleet.close()
-    asked, answered = _counts(fleet)
-    broken = [*fleet.judge.broken, *promises.logs(fleet)]
+    asked, answered = _count_requests(fleet)
+    broken = [*fleet.judge.broken, *final_checks.check_logs(fleet)]
     resets = dict(fleet.judge.resets)
     return Outcome(seed, steps, broken, asked, answered, resets, fleet.lag_s)
 
@@ -229,7 +232,7 @@
     for seed in seeds:
         folder = parent / str(seed)
         folder.mkdir(parents=True, exist_ok=True)
-        outcome = play(
+        outcome = run_seed(
             seed, command.seconds, folder, command.per_zone, command.factor
         )
         print(outcome.text(), flush=True)
--- a/notchhoist/testing/soak/stream_proxy.py
+++ b/notchhoist/testing/soak/stream_proxy.py
@@ -30,17 +30,17 @@
     SLOW = "slow"
 
 
-SLOW_S = 0.3
+SLOW_DELAY_S = 0.3
 """Extra delay of a response on a slow path, seconds: 75 times the 4 ms of a
 normal response."""
 
 
 @attrs.define(eq=False)
-class _Pair:
+class _ConnectionPair:
     """A daemon's connection and the proxy's own one to the store."""
 
-    near: socket.socket
-    far: socket.socket
+    daemon_side: socket.socket
+    store_side: socket.socket
     silent: bool = False
 
 
@@ -60,32 +60,36 @@
     listener: socket.socket
     store: tuple[str, int]
     state: StreamState = StreamState.WELL
-    pairs: list[_Pair] = attrs.Factory(list)
+    pairs: list[_ConnectionPair] = attrs.Factory(list)
 
     def accept(self) -> None:
         """Accepts a connection and opens its counterpart to the store."""
         try:
-            near, _ = self.listener.accept()
+            daemon_side, _ = self.listener.accept()
         except OSError:
             return  # The connection was aborted before the accept.
         if self.state is StreamState.RESET:
-            _reset(near)
+            _reset(daemon_side)
             return
-        far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        store_side = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            far.connect(self.store)
+            store_side.connect(self.store)
         except OSError:
-            far.close()
-            _reset(near)
+            store_side.close()
+            _reset(daemon_side)
             return
-        for sock in (near, far):
+        for sock in (daemon_side, store_side):
             sock.setblocking(False)
-        pair = _Pair(near, far)
+        pair = _ConnectionPair(daemon_side, store_side)
         self.pairs.append(pair)
-        self.loop.on_readable(near, lambda: self._pump(pair, pair.near))
-        self.loop.on_readable(far, lambda: self._pump(pair, pair.far))
-
-    def _pump(self, pair: _Pair, source: socket.socket) -> None:
+        self.loop.on_readable(
+            daemon_side, lambda: self._forward(pair, pair.daemon_side)
+        )
+        self.loop.on_readable(
+            store_side, lambda: self._forward(pair, pair.store_side)
+        )
+
+    def _forward(self, pair: _ConnectionPair, source: socket.socket) -> None:
         try:
             data = source.recv(RECEIVE_BYTES)
         except BlockingIOError:
@@ -93,9 +97,9 @@
         except OSError:
             data = b""
         if not data:
-            self._end(pair)
+            self._close_pair(pair)
             return
-        is_answer = source is pair.far
+        is_answer = source is pair.store_side
         state = self.state
         if state is StreamState.SILENT or pair.silent:
             return
@@ -103,27 +107,31 @@
             # Bytes are missing from here on, so the connection stays silent.
             pair.silent = True
             return
-        target = pair.near if is_answer else pair.far
-        delay_s = SLOW_S if state is StreamState.SLOW and is_answer else 0.0
+        target = pair.daemon_side if is_answer else pair.store_side
+        delay_s = (
+            SLOW_DELAY_S if state is StreamState.SLOW and is_answer else 0.0
+        )
         self.loop.call_later(delay_s, lambda: self._write(pair, target, data))
 
-    def _write(self, pair: _Pair, target: socket.socket, data: bytes) -> None:
+    def _write(
+        self, pair: _ConnectionPair, target: socket.socket, data: bytes
+    ) -> None:
         if pair not in self.pairs:
             return
         try:
             target.sendall(data)
         except OSError:
-            self._end(pair)
+            self._close_pair(pair)
 
-    def _end(self, pair: _Pair) -> None:
+    def _close_pair(self, pair: _ConnectionPair) -> None:
         if pair not in self.pairs:
             return
         self.pairs.remove(pair)
-        for sock in (pair.near, pair.far):
+        for sock in (pair.daemon_side, pair.store_side):
             self.loop.stop_watching(sock)
             sock.close()
 
-    def silence_open(self) -> None:
+    def stall_open(self) -> None:
         """Stalls the open connections; new ones work."""
         for pair in self.pairs:
             pair.silent = True
@@ -131,16 +139,16 @@
     def reset_open(self) -> None:
         """Resets the open connections; new ones work."""
         for pair in list(self.pairs):
-            self.loop.stop_watching(pair.near)
-            _reset(pair.near)
-            self.loop.stop_watching(pair.far)
-            pair.far.close()
+            self.loop.stop_watching(pair.daemon_side)
+            _reset(pair.daemon_side)
+            self.loop.stop_watching(pair.store_side)
+            pair.store_side.close()
             self.pairs.remove(pair)
 
     def close(self) -> None:
         """Closes all connections and the listener."""
         for pair in list(self.pairs):
-            self._end(pair)
+            self._close_pair(pair)
         self.loop.stop_watching(self.listener)
         self.listener.close()
 
--- a/notchhoist/testing/soak/tests/test_soak.py
+++ b/notchhoist/testing/soak/tests/test_soak.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from notchhoist.testing.soak import promises
+from notchhoist.testing.soak import final_checks
 from notchhoist.testing.soak.addresses import BLOCKS, Block
 from notchhoist.testing.soak.plan import (
     LATER_SEEDS,
@@ -12,7 +12,7 @@
     SPLIT_SEEDS,
     make_plan,
 )
-from notchhoist.testing.soak.run import play
+from notchhoist.testing.soak.run import run_seed
 from notchhoist.testing.soak.seeds import REGRESSIONS
 from notchhoist.testing.soak.troubles import (
     ALL_TROUBLES,
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("seed", [3, 600_816])
 def test_a_short_seed_breaks_nothing(seed, tmp_path):
     """Seed 600816 restores the store during a rolling stop of balancers."""
-    outcome = play(seed, SECONDS, tmp_path)
+    outcome = run_seed(seed, SECONDS, tmp_path)
     assert not outcome.broken
     assert outcome.asked > 0
 
@@ -72,20 +72,22 @@
 def test_troubles_overlap():
     steps = [step for seed in range(20) for step in make_plan(seed, 20.0)]
     pairs = itertools.pairwise(steps)
-    assert any(one.at < other.at < one.at + one.for_s for one, other in pairs)
+    assert any(
+        one.at < other.at < one.at + one.duration_s for one, other in pairs
+    )
 
 
 def test_addresses_of_two_runs_differ():
     blocks = [Block(number) for number in range(BLOCKS)]
-    hosts = {block.own(0, 0) for block in blocks}
-    hosts |= {block.known(0, 0) for block in blocks}
-    hosts |= {block.caller(0, 0) for block in blocks}
+    hosts = {block.bound_ip(0, 0) for block in blocks}
+    hosts |= {block.advertised_ip(0, 0) for block in blocks}
+    hosts |= {block.caller_ip(0, 0) for block in blocks}
     assert len(hosts) == 3 * BLOCKS
 
 
 def test_too_few_answers_at_the_end_are_a_finding():
-    assert list(promises.served(100, 97))
-    assert not list(promises.served(0, 0))
+    assert list(final_checks.check_answered(100, 97))
+    assert not list(final_checks.check_answered(0, 0))
 
 
 def test_each_seed_that_failed_has_a_cause():
--- a/notchhoist/testing/soak/troubles.py
+++ b/notchhoist/testing/soak/troubles.py
@@ -9,16 +9,16 @@
 from notchhoist.base import datagrams
 from notchhoist.testing.soak import addresses
 from notchhoist.testing.soak.configuration_troubles import (
-    TURNS_S,
+    WEIGHT_CHANGES_S,
     change_configuration,
     change_weights,
     drop_route,
 )
-from notchhoist.testing.soak.daemons import RESTART_S, Daemon
+from notchhoist.testing.soak.daemons import RESTART_DELAY_S, Daemon
 from notchhoist.testing.soak.datagram_proxy import PORTS
-from notchhoist.testing.soak.ends import ServerPlace
-from notchhoist.testing.soak.fleet import LAPSE_S, ZONES, Fleet
-from notchhoist.testing.soak.healing import Heal, nothing, some
+from notchhoist.testing.soak.endpoints import ServerHost
+from notchhoist.testing.soak.fleet import ENTRY_LEASE_S, ZONES, Fleet
+from notchhoist.testing.soak.healing import Heal, heal_nothing, sample_share
 from notchhoist.testing.soak.store_troubles import (
     connections_reset,
     connections_silent,
@@ -30,30 +30,42 @@
 )
 
 HEARTBEAT_S = 1.2
-STRANGE: tuple[object, ...] = ({}, [], "x", {"service": 4}, {"state": "odd"})
+MALFORMED_ENTRIES: tuple[object, ...] = (
+    {},
+    [],
+    "x",
+    {"service": 4},
+    {"state": "odd"},
+)
 """Malformed values that another writer puts into server entries."""
 
-LEAVE_S = 5.0
+DRAIN_TIME_S = 5.0
 """Time from a server's announced drain until it exits, seconds."""
 
 ROLL_GAP_S = 2.6
 """Pause between two planned stops, seconds; a balancer drains within 1.8 s."""
 
-LOSS = 0.1
+LOSS_SHARE = 0.1
 DELAY_S = 0.04
-GARBAGE = (b"", b"x", b"\xff" * 31, b"\0" * 64, bytes(range(256)) * 5)
+MALFORMED_DATAGRAMS = (
+    b"",
+    b"x",
+    b"\xff" * 31,
+    b"\0" * 64,
+    bytes(range(256)) * 5,
+)
 
 # Processes.
 
 
 def kill_balancers(fleet: Fleet, rng: random.Random) -> Heal:
     """Kills half of the balancers."""
-    return _kill(fleet, some(rng, fleet.balancers, 0.5), rng)
+    return _kill(fleet, sample_share(rng, fleet.balancers, 0.5), rng)
 
 
 def kill_agents(fleet: Fleet, rng: random.Random) -> Heal:
     """Kills a third of the agents; their backend servers keep running."""
-    return _kill(fleet, some(rng, fleet.agents, 0.34), rng)
+    return _kill(fleet, sample_share(rng, fleet.agents, 0.34), rng)
 
 
 def kill_all(fleet: Fleet, rng: random.Random) -> Heal:
@@ -63,15 +75,15 @@
 
 def _kill(fleet: Fleet, daemons: list[Daemon], rng: random.Random) -> Heal:
     now = fleet.loop.clock()
-    down_s = rng.choice((RESTART_S, 1.0))
+    down_s = rng.choice((RESTART_DELAY_S, 1.0))
     for daemon in daemons:
         daemon.kill(now, down_s)
-    return nothing
+    return heal_nothing
 
 
 def pause_some(fleet: Fleet, rng: random.Random) -> Heal:
     """Suspends a quarter of the daemons until healed."""
-    daemons = some(rng, fleet.daemons, 0.25)
+    daemons = sample_share(rng, fleet.daemons, 0.25)
     for daemon in daemons:
         daemon.pause()
 
@@ -91,30 +103,36 @@
             daemon.stop(fleet.loop.clock())
 
         fleet.loop.call_later(number * ROLL_GAP_S, stop)
-    return nothing
+    return heal_nothing
 
 
 def reload_all(fleet: Fleet, _: random.Random) -> Heal:
     """Makes every daemon reload its settings."""
     for daemon in fleet.daemons:
         daemon.reload(fleet.loop.clock())
-    return nothing
+    return heal_nothing
 
 
 # Paths between daemons.
 
 
 def _links(
-    fleet: Fleet, daemons: list[Daemon], both: bool
+    fleet: Fleet, daemons: list[Daemon], both_ways: bool
 ) -> list[tuple[str, str]]:
     """Returns the links from some daemons to all others, or both ways."""
-    chosen = {daemon.known for daemon in daemons}
-    others = [item.known for item in fleet.daemons if item.known not in chosen]
+    chosen = {daemon.advertised_ip for daemon in daemons}
+    others = [
+        item.advertised_ip
+        for item in fleet.daemons
+        if item.advertised_ip not in chosen
+    ]
     links = [(one, other) for one in chosen for other in others]
-    return links + [(other, one) for one, other in links] if both else links
+    return (
+        links + [(other, one) for one, other in links] if both_ways else links
+    )
 
 
-def _cut(fleet: Fleet, links: list[tuple[str, str]]) -> Heal:
+def _cut_links(fleet: Fleet, links: list[tuple[str, str]]) -> Heal:
     for source, target in links:
         fleet.proxy.link(source, target).cut = True
 
@@ -127,25 +145,31 @@
 
 def cut_off(fleet: Fleet, rng: random.Random) -> Heal:
     """Isolates a fifth of the daemons from all others."""
-    return _cut(fleet, _links(fleet, some(rng, fleet.daemons, 0.2), True))
+    return _cut_links(
+        fleet, _links(fleet, sample_share(rng, fleet.daemons, 0.2), True)
+    )
 
 
 def cut_one_way(fleet: Fleet, rng: random.Random) -> Heal:
     """Drops all datagrams that a fifth of the daemons send to the others."""
-    return _cut(fleet, _links(fleet, some(rng, fleet.daemons, 0.2), False))
+    return _cut_links(
+        fleet, _links(fleet, sample_share(rng, fleet.daemons, 0.2), False)
+    )
 
 
 def split(fleet: Fleet, rng: random.Random) -> Heal:
     """Partitions the fleet into halves."""
-    return _cut(fleet, _links(fleet, some(rng, fleet.daemons, 0.5), True))
+    return _cut_links(
+        fleet, _links(fleet, sample_share(rng, fleet.daemons, 0.5), True)
+    )
 
 
 def lossy(fleet: Fleet, rng: random.Random) -> Heal:
     """Drops and delays datagrams between two halves of the daemons."""
-    links = _links(fleet, some(rng, fleet.daemons, 0.5), True)
+    links = _links(fleet, sample_share(rng, fleet.daemons, 0.5), True)
     for source, target in links:
         state = fleet.proxy.link(source, target)
-        state.loss, state.delay_s = LOSS, DELAY_S
+        state.loss, state.delay_s = LOSS_SHARE, DELAY_S
 
     def heal() -> None:
         for source, target in links:
@@ -157,13 +181,13 @@
 
 def garbage(fleet: Fleet, rng: random.Random) -> Heal:
     """Sends malformed datagrams to every UDP port of every daemon."""
-    sock = datagrams.open_socket((fleet.block.store(), 0))
+    sock = datagrams.open_socket((fleet.block.store_ip(), 0))
     for daemon in fleet.daemons:
         for port in (*PORTS, addresses.PACKETS_PORT):
-            for data in (*GARBAGE, rng.randbytes(200)):
-                datagrams.send(sock, data, (daemon.own, port))
+            for data in (*MALFORMED_DATAGRAMS, rng.randbytes(200)):
+                datagrams.send(sock, data, (daemon.bound_ip, port))
     sock.close()
-    return nothing
+    return heal_nothing
 
 
 # Backend servers.
@@ -171,58 +195,60 @@
 
 def crash_servers(fleet: Fleet, rng: random.Random) -> Heal:
     """Crashes a quarter of the backend servers; new ones replace them."""
-    for place in some(rng, fleet.ends.places, 0.25):
-        _crash(fleet, place, rng.uniform(0.2, 2.0))
-    return nothing
+    for server_host in sample_share(rng, fleet.endpoints.server_hosts, 0.25):
+        _crash(fleet, server_host, rng.uniform(0.2, 2.0))
+    return heal_nothing
 
 
-def _crash(fleet: Fleet, place: ServerPlace, down_s: float) -> None:
-    server = place.server
+def _crash(fleet: Fleet, server_host: ServerHost, down_s: float) -> None:
+    server = server_host.server
     if server is None or not server.alive:
         return
-    fleet.ends.end_server(place)
+    fleet.endpoints.crash_server(server_host)
     key = f"servers/{server.server_id}"
-    fleet.loop.call_later(LAPSE_S, lambda: fleet.store.remove(key))
-    fleet.loop.call_later(down_s, lambda: _start_again(fleet, place))
+    fleet.loop.call_later(ENTRY_LEASE_S, lambda: fleet.store.remove(key))
+    fleet.loop.call_later(down_s, lambda: _restart(fleet, server_host))
 
 
-def _start_again(fleet: Fleet, place: ServerPlace) -> None:
-    if place.server is None or not place.server.alive:
-        fleet.start_server(place)
+def _restart(fleet: Fleet, server_host: ServerHost) -> None:
+    if server_host.server is None or not server_host.server.alive:
+        fleet.start_server(server_host)
 
 
 def power_off(fleet: Fleet, rng: random.Random) -> Heal:
     """Powers off every host; all daemons and servers start again."""
     down_s = rng.uniform(0.5, 1.5)
-    for place in fleet.ends.places:
-        _crash(fleet, place, down_s)
+    for server_host in fleet.endpoints.server_hosts:
+        _crash(fleet, server_host, down_s)
     now = fleet.loop.clock()
     for daemon in fleet.daemons:
         daemon.kill(now, down_s)
-    return nothing
+    return heal_nothing
 
 
 def replace_servers(fleet: Fleet, rng: random.Random) -> Heal:
     """Drains a quarter of the backend servers; new ones replace them."""
-    for place in some(rng, fleet.ends.places, 0.25):
-        server = place.server
+    for server_host in sample_share(rng, fleet.endpoints.server_hosts, 0.25):
+        server = server_host.server
         if server is None or not server.alive or server.draining:
             continue
         server.draining = True
-        place.draining_since = fleet.loop.clock()
-        fleet.judge.on_leaving(server.server_id, place.draining_since)
-        fleet.announce(place)
-        fleet.loop.call_later(LEAVE_S, partial(_leave, fleet, place))
-    return nothing
+        server_host.draining_since = fleet.loop.clock()
+        fleet.judge.on_leaving(server.server_id, server_host.draining_since)
+        fleet.announce(server_host)
+        fleet.loop.call_later(
+            DRAIN_TIME_S, partial(_exit_drained, fleet, server_host)
+        )
+    return heal_nothing
 
 
-def _leave(fleet: Fleet, place: ServerPlace) -> None:
-    server = place.server
+def _exit_drained(fleet: Fleet, server_host: ServerHost) -> None:
+    server = server_host.server
     if server is None or not server.alive or not server.draining:
         return
-    fleet.ends.end_server(place)
+    fleet.endpoints.crash_server(server_host)
     fleet.store.remove(f"servers/{server.server_id}")
-    fleet.loop.call_later(0.3, lambda: _start_again(fleet, place))
+    fleet.loop.call_later(0.3, lambda: _restart(fleet, server_host))
 
 
 # Zones, restarts under the same id, and other writers.
@@ -243,27 +269,27 @@
 
 def restart_servers(fleet: Fleet, rng: random.Random) -> Heal:
     """Crashes a third of the servers; they restart under the same ids."""
-    for place in some(rng, fleet.ends.places, 0.34):
-        server = place.server
+    for server_host in sample_share(rng, fleet.endpoints.server_hosts, 0.34):
+        server = server_host.server
         if server is None or not server.alive:
             continue
-        fleet.ends.end_server(place)
+        fleet.endpoints.crash_server(server_host)
         fleet.loop.call_later(
             rng.uniform(0.2, 1.0),
-            partial(fleet.start_server, place, server.server_id),
+            partial(fleet.start_server, server_host, server.server_id),
         )
-    return nothing
+    return heal_nothing
 
 
 def strange_entries(fleet: Fleet, rng: random.Random) -> Heal:
     """Overwrites server entries until the servers' next heartbeat."""
-    for place in some(rng, fleet.ends.places, 0.34):
-        if place.server is None:
+    for server_host in sample_share(rng, fleet.endpoints.server_hosts, 0.34):
+        if server_host.server is None:
             continue
-        key = f"servers/{place.server.server_id}"
-        fleet.store.put(key, rng.choice(STRANGE))
-        fleet.loop.call_later(HEARTBEAT_S, partial(fleet.announce, place))
-    return nothing
+        key = f"servers/{server_host.server.server_id}"
+        fleet.store.put(key, rng.choice(MALFORMED_ENTRIES))
+        fleet.loop.call_later(HEARTBEAT_S, partial(fleet.announce, server_host))
+    return heal_nothing
 
 
 @attrs.frozen
@@ -305,7 +331,9 @@
     "history-forgotten": Trouble(history_forgotten),
     "crash-servers": Trouble(crash_servers),
     "power-off": Trouble(power_off),
-    "replace-servers": Trouble(replace_servers, planned=True, takes_s=LEAVE_S),
+    "replace-servers": Trouble(
+        replace_servers, planned=True, takes_s=DRAIN_TIME_S
+    ),
     "change-configuration": Trouble(change_configuration, planned=True),
     "drop-route": Trouble(drop_route, planned=True, lasts=True),
 }
@@ -325,7 +353,7 @@
         change_weights,
         planned=True,
         lasts=True,
-        takes_s=TURNS_S + ROLL_GAP_S,
+        takes_s=WEIGHT_CHANGES_S + ROLL_GAP_S,
     )
 }
 """Likewise, for seeds from ``plan.SPLIT_SEEDS`` on."""
