--- a/notchhoist/testing/soak/run.py
+++ b/notchhoist/testing/soak/run.py
@@ -190,13 +190,13 @@
     return Outcome(seed, steps, broken, asked, answered, resets, fleet.lag_s)
 
 
-@cappa.command(name="soak", description="Plays seeds with the real daemons.")
+@cappa.command(name="soak", description="Runs seeds with the real daemons.")
 @attrs.define
 class Command:
-    """Options of the command line.
+    """Runs the soak test with one or several seeds.
 
     Attributes:
-        seed: First seed; a random one if negative.
+        seed: First seed; a random one if negative. The results name it.
         count: Number of consecutive seeds.
         seconds: Length of the period in which troubles begin, for each seed.
         per_zone: Number of balancers in each of the three zones.
--- a/notchhoist/testing/soak/stream_proxy.py
+++ b/notchhoist/testing/soak/stream_proxy.py
@@ -99,17 +99,17 @@
         if not data:
             self._close_pair(pair)
             return
-        is_answer = source is pair.store_side
+        is_response = source is pair.store_side
         state = self.state
         if state is StreamState.SILENT or pair.silent:
             return
-        if state is StreamState.MUTE and is_answer:
+        if state is StreamState.MUTE and is_response:
             # Bytes are missing from here on, so the connection stays silent.
             pair.silent = True
             return
-        target = pair.daemon_side if is_answer else pair.store_side
+        target = pair.daemon_side if is_response else pair.store_side
         delay_s = (
-            SLOW_DELAY_S if state is StreamState.SLOW and is_answer else 0.0
+            SLOW_DELAY_S if state is StreamState.SLOW and is_response else 0.0
         )
         self.loop.call_later(delay_s, lambda: self._write(pair, target, data))
 
