--- a/notchhoist/testing/soak/addresses.py
+++ b/notchhoist/testing/soak/addresses.py
@@ -1,12 +1,12 @@
-"""Loopback addresses of a run, so that several can go on side by side."""
+"""Loopback addresses of a run, separate for runs at the same time."""
 
 import attrs
 
 FIRST_BLOCK = 32
-"""Second octet of the first block; lower ones are used by other tests."""
+"""Second octet of the first block; other tests use lower ones."""
 
 BLOCKS = 60
-OCTETS_A_BLOCK = 3
+OCTETS_PER_BLOCK = 3
 
 PACKETS_PORT = 28_172
 READY_PORT = 28_167
@@ -20,36 +20,36 @@
 class Block:
     """The addresses of one run.
 
-    Each daemon has an address of its own and one under which the others know
-    it; a proxy listens at the second.
+    Each daemon binds one address and advertises another, on which a proxy
+    listens.
 
     Attributes:
-        number: Number of the block, from 0.
+        number: Number of the block from 0; used modulo ``BLOCKS``.
     """
 
     number: int
 
     def _prefix(self, part: int) -> str:
-        octet = FIRST_BLOCK + self.number % BLOCKS * OCTETS_A_BLOCK + part
+        octet = FIRST_BLOCK + self.number % BLOCKS * OCTETS_PER_BLOCK + part
         return f"127.{octet}"
 
-    def own(self, zone: int, number: int) -> str:
+    def bound_ip(self, zone: int, number: int) -> str:
         """Returns the address that a daemon binds."""
         return f"{self._prefix(0)}.{zone + 1}.{number + 1}"
 
-    def known(self, zone: int, number: int) -> str:
-        """Returns the address that the other daemons use for it.
+    def advertised_ip(self, zone: int, number: int) -> str:
+        """Returns the address that a daemon advertises to the others.
 
         Examples:
-            >>> Block(0).own(1, 3), Block(0).known(1, 3)
+            >>> Block(0).bound_ip(1, 3), Block(0).advertised_ip(1, 3)
             ('127.32.2.4', '127.33.2.4')
         """
         return f"{self._prefix(1)}.{zone + 1}.{number + 1}"
 
-    def caller(self, zone: int, number: int) -> str:
+    def caller_ip(self, zone: int, number: int) -> str:
         """Returns the address of a caller."""
         return f"{self._prefix(2)}.{zone + 1}.{number + 1}"
 
-    def store(self) -> str:
+    def store_ip(self) -> str:
         """Returns the address of the store itself."""
         return f"{self._prefix(2)}.200.1"
--- a/notchhoist/testing/soak/daemons.py
+++ b/notchhoist/testing/soak/daemons.py
@@ -1,4 +1,4 @@
-"""The daemons of a run: their settings files and their processes."""
+"""Settings files and processes of the daemons of a run."""
 
 import json
 import os
@@ -12,85 +12,87 @@
 from notchhoist.platform.settings import PATH_VARIABLE
 from notchhoist.testing.soak import addresses
 
-RESTART_S = 0.2
-"""Pause before a process that has ended is started again, seconds."""
+RESTART_DELAY_S = 0.2
+"""Pause before an exited process is restarted, seconds."""
 
-GRACE_S = 6.0
-"""From SIGTERM to SIGKILL, seconds, as on the platform."""
+KILL_DELAY_S = 6.0
+"""Time from SIGTERM to SIGKILL, seconds, as on the platform."""
 
-INTERPRETER_S = 0.5
-"""On a busy machine a process may need this long to reach its first line
-of ours, seconds; until then a request to reload ends it, as any program."""
+INTERPRETER_STARTUP_S = 0.5
+"""On a busy machine the interpreter may need this long to reach the daemon's
+code, seconds. Until then SIGHUP terminates the process."""
 
 COMMAND = (sys.executable, "-m", "notchhoist.daemon")
 
 
 @attrs.define(eq=False)
 class Daemon:
-    """One daemon's place on a host, and the process that runs there now.
+    """A daemon's configuration and its current process.
 
     Attributes:
         name: Name of the host.
         zone: Name of its availability zone.
-        own: IP number that it binds.
-        known: IP number under which the others know it.
+        bound_ip: IP address that it binds.
+        advertised_ip: IP address that it advertises to the others.
         service: Service of the backend server beside it; empty on balancers.
-        folder: Where its settings and logs go.
+        folder: Folder of its settings file and log.
         process: The process, or None while it is down.
-        down_until: Not started before this, seconds.
-        killed_at: When a stopping process is killed, seconds.
-        ending: Its end was brought about by the run.
-        starts: How many processes ran here.
+        down_until: Earliest time of the next start, seconds.
+        kill_at: When a stopping process gets SIGKILL, seconds.
+        exit_expected: Whether the run has killed or stopped the process.
+        starts: Number of processes started so far.
         started_at: When the process started, seconds.
         reload_at: When it was last asked to reload, seconds.
     """
 
     name: str
     zone: str
-    own: str
-    known: str
+    bound_ip: str
+    advertised_ip: str
     service: str
     folder: Path
     process: subprocess.Popen[bytes] | None = None
     down_until: float = float("-inf")
-    killed_at: float = float("inf")
-    ending: bool = False
+    kill_at: float = float("inf")
+    exit_expected: bool = False
     starts: int = 0
     started_at: float = float("-inf")
     reload_at: float = float("-inf")
 
     @property
     def settings_path(self) -> Path:
-        """Its settings file."""
+        """Path of its settings file."""
         return self.folder / f"{self.name}.settings.json"
 
     @property
     def log_path(self) -> Path:
-        """Its logs; every process of this place appends to them."""
+        """Path of its log, to which each of its processes appends."""
         return self.folder / f"{self.name}.log"
 
     def write_settings(self, seeds: list[str]) -> None:
-        """Writes its settings file in the platform's form."""
+        """Writes its settings file in the platform's format."""
         listen = {
-            "datagram_addr": f"{self.own}:{addresses.PACKETS_PORT}",
-            "ready": f"{self.own}:{addresses.READY_PORT}",
+            "datagram_addr": f"{self.bound_ip}:{addresses.PACKETS_PORT}",
+            "ready": f"{self.bound_ip}:{addresses.READY_PORT}",
         }
         settings: dict[str, object] = {
             "node": self.name,
             "serves": ["side"] if self.service else ["front", "control"],
-            "ip": self.known,
-            "bind_ip": self.own,
+            "ip": self.advertised_ip,
+            "bind_ip": self.bound_ip,
             "zone": self.zone,
             "listen": listen,
             "internal_ports": list(addresses.PEER_PORTS),
             "seeds": [f"{seed}:1" for seed in seeds],
             "bounds": {"drain_ms": 3000, "config_apply_ms": 3000, "grace_s": 6},
             "limits": {"link_mbps": 1000.0},
-            "platform": {"address": f"{self.known}:{addresses.STORE_PORT}"},
+            "platform": {
+                "address": f"{self.advertised_ip}:{addresses.STORE_PORT}"
+            },
         }
         if self.service:
-            listen["outbound"] = f"{self.own}:{addresses.OUTBOUND_PORT}"
-            settings["app"] = f"{self.own}:{addresses.SERVER_PORT}"
+            listen["outbound"] = f"{self.bound_ip}:{addresses.OUTBOUND_PORT}"
+            settings["app"] = f"{self.bound_ip}:{addresses.SERVER_PORT}"
             settings["service"] = self.service
         self.settings_path.write_text(json.dumps(settings))
 
@@ -102,65 +104,67 @@
             self.process = subprocess.Popen(
                 COMMAND, env=variables, stdout=log, stderr=log
             )
-        self.ending = False
-        self.killed_at = float("inf")
+        self.exit_expected = False
+        self.kill_at = float("inf")
         self.starts += 1
 
     def _signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def kill(self, now: float, down_s: float = RESTART_S) -> None:
-        """Kills the process; it is started again later."""
-        self.ending = True
+    def kill(self, now: float, down_s: float = RESTART_DELAY_S) -> None:
+        """Sends SIGKILL; the process is restarted after a pause."""
+        self.exit_expected = True
         self.down_until = max(self.down_until, now + down_s)
         self._signal(signal.SIGKILL)
 
     def stop(self, now: float) -> None:
-        """Asks the process to stop; it is started again."""
-        self.ending = True
-        self.killed_at = min(self.killed_at, now + GRACE_S)
+        """Sends SIGTERM; the process is restarted after it exits."""
+        self.exit_expected = True
+        self.kill_at = min(self.kill_at, now + KILL_DELAY_S)
         self._signal(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Lets the process stand still."""
+        """Suspends the process with SIGSTOP."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes the process with SIGCONT."""
         self._signal(signal.SIGCONT)
 
     def reload(self, now: float) -> None:
-        """Asks the process to read its settings anew."""
+        """Sends SIGHUP, upon which the process reloads its settings."""
         self.reload_at = now
         self._signal(signal.SIGHUP)
 
-    def tend(self, now: float) -> int | None:
-        """Restarts what has ended and kills what does not stop.
+    def supervise(self, now: float) -> int | None:
+        """Restarts an exited process and kills one that does not stop.
 
         Returns:
-            The status of a process that ended although nobody made it, or None.
+            The status of a process that exited unexpectedly, or None.
         """
         if self.process is None:
             if now >= self.down_until:
                 self.start(now)
             return None
-        if now >= self.killed_at:
+        if now >= self.kill_at:
             self._signal(signal.SIGKILL)
         status = self.process.poll()
         if status is None:
             return None
-        unasked = not self.ending and not self._ended_by_reload(status)
+        unexpected = not self.exit_expected and not self._ended_by_reload(
+            status
+        )
         self.process = None
-        self.down_until = max(self.down_until, now + RESTART_S)
-        return status if unasked else None
+        self.down_until = max(self.down_until, now + RESTART_DELAY_S)
+        return status if unexpected else None
 
     def _ended_by_reload(self, status: int) -> bool:
-        early = self.reload_at - self.started_at < INTERPRETER_S
+        early = self.reload_at - self.started_at < INTERPRETER_STARTUP_S
         return status == -signal.SIGHUP and early
 
-    def end(self) -> None:
-        """Ends the process for good."""
+    def shut_down(self) -> None:
+        """Kills the process and does not restart it."""
         if self.process is None:
             return
         self.resume()
@@ -175,7 +179,7 @@
         try:
             status = Path(f"/proc/{self.process.pid}/status").read_text()
         except OSError:
-            return 0.0  # It has just ended; the next look finds another one.
+            return 0.0  # The process has just exited; it will be restarted.
         for line in status.splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) / 1024
--- a/notchhoist/testing/soak/routers.py
+++ b/notchhoist/testing/soak/routers.py
@@ -1,4 +1,4 @@
-"""Routers: hand callers' packets to balancers that say that they are ready."""
+"""Routers that forward callers' packets to ready balancers."""
 
 import zlib
 
@@ -9,75 +9,81 @@
 from notchhoist.testing.soak import addresses
 from notchhoist.testing.soak.daemons import Daemon
 
-PROBE_S = 0.5
+PROBE_INTERVAL_S = 0.5
 PROBE_TIMEOUT_S = 0.4
-MISSES = 2
+MAX_MISSES = 2
 
 
 @attrs.define(eq=False)
-class _Entry:
-    """A balancer as the routers see it."""
+class _ProbedBalancer:
+    """A balancer and the state of its readiness probe."""
 
     daemon: Daemon
-    caller: HttpClient
-    misses: int = MISSES
-    asking: bool = False
+    client: HttpClient
+    misses: int = MAX_MISSES
+    probing: bool = False
 
 
 @attrs.define(eq=False)
 class Routers:
-    """Picks a balancer for each packet by a hash over those that are in.
+    """Picks a balancer for each packet by a hash over the ready ones.
 
     Attributes:
         loop: The event loop.
-        entries: The balancers.
+        entries: The balancers with their probe state.
     """
 
     loop: Loop
-    entries: list[_Entry] = attrs.Factory(list)
+    entries: list[_ProbedBalancer] = attrs.Factory(list)
 
     def add(self, daemon: Daemon) -> None:
-        """Adds a balancer."""
-        address = (daemon.own, addresses.READY_PORT)
-        self.entries.append(_Entry(daemon, HttpClient(self.loop, address)))
+        """Adds a balancer, which counts as not ready until a probe succeeds."""
+        address = (daemon.bound_ip, addresses.READY_PORT)
+        self.entries.append(
+            _ProbedBalancer(daemon, HttpClient(self.loop, address))
+        )
 
     def probe(self) -> None:
-        """Asks every balancer whether it is ready, and goes on doing so."""
+        """Probes the readiness of every balancer, now and periodically."""
         for entry in self.entries:
-            if not entry.asking:
-                self._ask(entry)
-        self.loop.call_later(PROBE_S, self.probe)
+            if not entry.probing:
+                self._probe_one(entry)
+        self.loop.call_later(PROBE_INTERVAL_S, self.probe)
 
-    def _ask(self, entry: _Entry) -> None:
-        entry.asking = True
+    def _probe_one(self, entry: _ProbedBalancer) -> None:
+        entry.probing = True
 
         def on_done(status: int, _: bytes) -> None:
-            entry.asking = False
+            entry.probing = False
             entry.misses = 0 if status == 200 else entry.misses + 1
 
         def on_failed(_: str) -> None:
-            entry.asking = False
+            entry.probing = False
             entry.misses += 1
 
-        entry.caller.get("/ready", PROBE_TIMEOUT_S, on_done, on_failed)
+        entry.client.get("/ready", PROBE_TIMEOUT_S, on_done, on_failed)
 
     def all_ready(self) -> bool:
-        """Tells whether every balancer is in."""
+        """Tells whether the last probe of every balancer succeeded."""
         return all(entry.misses == 0 for entry in self.entries)
 
-    def pick(self, zone: str, ends: str) -> Daemon | None:
-        """Returns the balancer for a packet, or None where none is in.
+    def pick(self, zone: str, flow_key: str) -> Daemon | None:
+        """Returns the balancer for a packet, or None if none is ready.
+
+        Ready balancers of the caller's zone are preferred. If fewer than half
+        of the zone's balancers are ready, all of the zone are used; if none is,
+        the ready ones of all zones.
 
         Args:
             zone: Availability zone of the caller.
-            ends: Addresses and ports of the flow.
+            flow_key: Addresses and ports of the flow, the hash key.
         """
-        near = [item for item in self.entries if item.daemon.zone == zone]
-        ready = [item for item in near if item.misses < MISSES]
+        local = [item for item in self.entries if item.daemon.zone == zone]
+        ready = [item for item in local if item.misses < MAX_MISSES]
         if not ready:
-            ready = [item for item in self.entries if item.misses < MISSES]
-        elif len(ready) * 2 < len(near):
-            ready = near
+            ready = [item for item in self.entries if item.misses < MAX_MISSES]
+        elif len(ready) * 2 < len(local):
+            ready = local
         if not ready:
             return None
-        return ready[zlib.crc32(ends.encode()) % len(ready)].daemon
+        return ready[zlib.crc32(flow_key.encode()) % len(ready)].daemon
