--- a/notchhoist/testing/backend.py
+++ b/notchhoist/testing/backend.py
@@ -1,8 +1,9 @@
-"""Stand-in of a backend server: a sans-I/O CoAP server with slots.
+"""Model of a backend server: a sans-I/O CoAP server with slots.
 
-It works on as many requests as it has slots and sheds the rest, starts cold,
-drains, takes cancellation (a reset of the request) and deadlines, streams to
-observers and takes uploads in blocks. Its load endpoint may lag or lie.
+It processes as many requests at a time as it has slots and sheds the rest. It
+can be slow after its start and can be drained. It supports cancellation (a
+reset of the request), deadlines, notifications to observers and block-wise
+uploads. The figure of its load endpoint may be late or wrong.
 """
 
 import heapq
@@ -17,28 +18,29 @@
 from notchhoist import model, wire
 from notchhoist.testing.history import History, Started
 
-DEDUPLICATION = 4096
-NOTIFY_S = 0.5
+MAX_CACHED_ANSWERS = 4096
+NOTIFY_INTERVAL_S = 0.5
 COLD_FACTOR = 4.0
-QUICK_S = 0.8
+MAX_PIGGYBACKED_S = 0.8
 LOAD_PATH = "load"
-ONCE_METHOD = "POST"
+NON_REPEATABLE_METHOD = "POST"
 
 
 @attrs.frozen
 class BackendProfile:
-    """How a backend server behaves.
+    """Behavior of a simulated backend server.
 
     Attributes:
-        service: Its service.
-        name: Its name.
-        slots: Requests that it works on at the same time.
-        service_s: Time that a request takes, seconds.
-        cold_s: It is slower for this time after its start, seconds.
-        shed_every: It sheds each n-th request although it has a slot; 0 for
-            none.
-        load_lag_s: Its load endpoint shows a figure this old, seconds.
-        load_lie: Its load endpoint shows so many times the true figure.
+        service: Name of the service.
+        name: Name of the backend server.
+        slots: Number of requests processed at the same time.
+        service_s: Time to process a request, seconds.
+        cold_s: Time after the start in which requests take ``COLD_FACTOR``
+            times as long, seconds.
+        shed_every: Every n-th request is shed although a slot may be free;
+            0 disables this.
+        load_lag_s: Age of the figure that the load endpoint shows, seconds.
+        load_lie: Factor by which the load endpoint multiplies the true figure.
     """
 
     service: str
@@ -53,7 +55,18 @@
 
 @attrs.define
 class Work:
-    """A request that is being worked on."""
+    """A request in progress.
+
+    Attributes:
+        number: Orders requests that finish at the same time.
+        source: Endpoint that receives the response.
+        request: The request.
+        deadline: Runtime clock after which no response is sent, seconds, or
+            None.
+        acknowledged: Whether the response follows a separate, empty
+            acknowledgement.
+        cancelled: Whether the request was reset.
+    """
 
     number: int
     source: model.Endpoint
@@ -65,13 +78,13 @@
 
 @attrs.define
 class Observer:
-    """A caller of a stream.
+    """A caller that observes a resource (a stream).
 
     Attributes:
-        source: Where notifications go.
-        request: The registration.
-        count: Notifications so far.
-        next_at: Runtime clock of the next notification, seconds.
+        source: Endpoint that receives the notifications.
+        request: The request that registered the observer.
+        count: Number of notifications so far, with the first response.
+        next_at: Runtime clock at which the next notification is due, seconds.
     """
 
     source: model.Endpoint
@@ -82,7 +95,12 @@
 
 @attrs.frozen
 class Reply:
-    """A datagram that the server sends."""
+    """A datagram that the backend server sends.
+
+    Attributes:
+        to: Destination.
+        datagram: Encoded CoAP message.
+    """
 
     to: model.Endpoint
     datagram: bytes
@@ -90,24 +108,27 @@
 
 @attrs.define
 class BackendModel:
-    """A backend server.
+    """A simulated backend server.
 
     Attributes:
-        profile: How it behaves.
+        profile: Behavior of the server.
         started_at: Runtime clock at its start, seconds.
-        history: Where starts are recorded.
-        draining: It refuses new work.
-        slow_factor: Times that everything takes longer.
-        in_progress: Requests worked on, by source and message ID.
-        peak: Most requests worked on at the same time.
-        finished: Requests answered so far.
-        seen: Requests received so far.
-        answers: Answers by source and message ID, for retransmissions.
-        observers: Callers of streams by source and token.
-        uploads: Blocks so far by source and path.
-        loads: What the load endpoint shows, and from when on.
-        due: When work ends, earliest first.
-        numbers: Source of message IDs and of the order of work.
+        history: Records the start of each request.
+        draining: Whether new requests are refused.
+        slow_factor: Factor by which the processing time is multiplied.
+        in_progress: Requests in progress by source and message ID.
+        peak: Largest number of requests in progress at the same time.
+        finished: Number of requests that finished before their deadline.
+        seen: Number of requests received, without retransmissions and load
+            queries.
+        answers: Responses by source and message ID, resent for
+            retransmitted requests.
+        observers: Observers by source and token.
+        uploads: Blocks received so far, by source and path.
+        loads: Requests in progress, with the runtime clock from which the
+            load endpoint shows each figure.
+        due: Heap of requests in progress, ordered by the time they finish.
+        numbers: Source of message IDs and of the numbers of requests.
     """
 
     profile: BackendProfile
@@ -133,7 +154,7 @@
     def receive(
         self, datagram: bytes, source: model.Endpoint, now: float
     ) -> list[Reply]:
-        """Takes a datagram."""
+        """Handles a received datagram and returns the datagrams to send."""
         try:
             message = wire.decode_coap(datagram)
         except model.CodecError:
@@ -166,39 +187,39 @@
         self, request: wire.CoapMessage, source: model.Endpoint, now: float
     ) -> list[Reply]:
         if request.path[:1] == (LOAD_PATH,):
-            return [self._load_answer(request, source, now)]
+            return [self._load_response(request, source, now)]
         self.seen += 1
-        if not self._is_own(request):
-            self.history.misdirected.append(name_of(request))
-        continues = wire.is_block_continuation(request)
-        if self.draining and not continues and request.observe != 1:
+        if not self._matches_service(request):
+            self.history.misdirected.append(request_name(request))
+        is_continuation = wire.is_block_continuation(request)
+        if self.draining and not is_continuation and request.observe != 1:
             return [self._refusal(request, source, b"draining")]
-        if self._sheds():
+        if self._should_shed():
             return [self._refusal(request, source, b"shed")]
         self._record_start(request, now)
         return self._start(request, source, now)
 
-    def _load_answer(
+    def _load_response(
         self, request: wire.CoapMessage, source: model.Endpoint, now: float
     ) -> Reply:
-        """Answers ``GET /load`` with a figure that lags and may lie."""
-        self._note_load(now)
+        """Answers ``GET /load`` with a figure that may be late or wrong."""
+        self._record_load(now)
         old = [item for item in self.loads if item[0] <= now]
         shown = int(old[-1][1] * self.profile.load_lie) if old else 0
         text = f"{shown} of {self.profile.slots}".encode()
         answer = Message(code=Code.CONTENT, payload=text)
-        return self._answer(request, source, answer)
+        return self._direct_response(request, source, answer)
 
-    def _note_load(self, now: float) -> None:
+    def _record_load(self, now: float) -> None:
         due = now + self.profile.load_lag_s
         self.loads.append((due, len(self.in_progress)))
         while len(self.loads) > 1 and self.loads[1][0] <= now:
             self.loads.popleft()
 
-    def _is_own(self, request: wire.CoapMessage) -> bool:
+    def _matches_service(self, request: wire.CoapMessage) -> bool:
         return len(request.path) > 1 and request.path[1] == self.profile.service
 
-    def _sheds(self) -> bool:
+    def _should_shed(self) -> bool:
         every = self.profile.shed_every
         if every and self.seen % every == 0:
             return True
@@ -209,7 +230,7 @@
     ) -> Reply:
         answer = Message(code=Code.SERVICE_UNAVAILABLE, payload=why)
         answer.opt.max_age = 1
-        return self._answer(request, source, answer)
+        return self._direct_response(request, source, answer)
 
     def _record_start(self, request: wire.CoapMessage, now: float) -> None:
         self.history.started.append(
@@ -217,45 +238,45 @@
                 at=now,
                 service=self.profile.service,
                 server=self.profile.name,
-                request=name_of(request),
-                once=request.method == ONCE_METHOD,
+                request=request_name(request),
+                once=request.method == NON_REPEATABLE_METHOD,
             )
         )
 
     def _start(
         self, request: wire.CoapMessage, source: model.Endpoint, now: float
     ) -> list[Reply]:
-        takes = self._time_of(now)
-        left = wire.deadline_of(request)
+        duration_s = self._service_time(now)
+        remaining_s = wire.deadline_of(request)
         work = Work(
             number=next(self.numbers),
             source=source,
             request=request,
-            deadline=None if left is None else now + left,
-            acknowledged=takes > QUICK_S,
+            deadline=None if remaining_s is None else now + remaining_s,
+            acknowledged=duration_s > MAX_PIGGYBACKED_S,
         )
         self.in_progress[source, request.mid] = work
         self.peak = max(self.peak, len(self.in_progress))
-        self._note_load(now)
-        heapq.heappush(self.due, (now + takes, work.number, work))
+        self._record_load(now)
+        heapq.heappush(self.due, (now + duration_s, work.number, work))
         if work.acknowledged and request.is_confirmable:
             return [Reply(source, wire.empty_ack(request.mid))]
         return []
 
-    def _time_of(self, now: float) -> float:
-        cold = now - self.started_at < self.profile.cold_s
-        factor = COLD_FACTOR if cold else 1.0
+    def _service_time(self, now: float) -> float:
+        is_cold = now - self.started_at < self.profile.cold_s
+        factor = COLD_FACTOR if is_cold else 1.0
         return self.profile.service_s * factor * self.slow_factor
 
     def next_due(self) -> float | None:
-        """Returns when ``tick`` has something to do, or None."""
+        """Returns when ``tick`` is next due (runtime clock), or None."""
         times = [item.next_at for item in self.observers.values()]
         if self.due:
             times.append(self.due[0][0])
         return min(times, default=None)
 
     def tick(self, now: float) -> list[Reply]:
-        """Finishes what is due and sends notifications."""
+        """Finishes requests and sends notifications that are due."""
         replies = []
         while self.due and self.due[0][0] <= now:
             work = heapq.heappop(self.due)[2]
@@ -274,13 +295,13 @@
         self.finished += 1
         answer = self._result(work, now)
         if work.acknowledged:
-            return [self._separate(work.request, work.source, answer)]
-        return [self._answer(work.request, work.source, answer)]
+            return [self._separate_response(work.request, work.source, answer)]
+        return [self._direct_response(work.request, work.source, answer)]
 
     def _result(self, work: Work, now: float) -> Message:
         request = work.request
         if request.block1 is not None:
-            return self._take_block(work)
+            return self._receive_block(work)
         if wire.is_observe_registration(request):
             return self._open_stream(work, now)
         if request.observe == 1:
@@ -289,9 +310,9 @@
         return Message(code=code, payload=self._payload(request))
 
     def _payload(self, request: wire.CoapMessage) -> bytes:
-        return f"{self.profile.name}|{name_of(request)}".encode()
+        return f"{self.profile.name}|{request_name(request)}".encode()
 
-    def _take_block(self, work: Work) -> Message:
+    def _receive_block(self, work: Work) -> Message:
         request = work.request
         number, more = request.block1 or (0, False)
         key = (work.source, "/".join(request.path))
@@ -316,7 +337,7 @@
     def _open_stream(self, work: Work, now: float) -> Message:
         key = (work.source, work.request.token)
         self.observers[key] = Observer(
-            work.source, work.request, 1, now + NOTIFY_S
+            work.source, work.request, 1, now + NOTIFY_INTERVAL_S
         )
         answer = Message(
             code=Code.CONTENT, payload=self._payload(work.request) + b"|1"
@@ -326,13 +347,15 @@
 
     def _notify(self, observer: Observer, now: float) -> Reply:
         observer.count += 1
-        observer.next_at = now + NOTIFY_S
+        observer.next_at = now + NOTIFY_INTERVAL_S
         text = self._payload(observer.request) + b"|%d" % observer.count
         answer = Message(code=Code.CONTENT, payload=text)
         answer.opt.observe = observer.count
-        return self._separate(observer.request, observer.source, answer)
+        return self._separate_response(
+            observer.request, observer.source, answer
+        )
 
-    def _separate(
+    def _separate_response(
         self, request: wire.CoapMessage, source: model.Endpoint, answer: Message
     ) -> Reply:
         answer.mtype = Type.NON
@@ -340,16 +363,16 @@
         answer.token = request.token
         return Reply(source, answer.encode())
 
-    def _answer(
+    def _direct_response(
         self, request: wire.CoapMessage, source: model.Endpoint, answer: Message
     ) -> Reply:
         data = wire.readdressed(wire.CoapMessage(answer), request)
         self.answers[source, request.mid] = data
-        if len(self.answers) > DEDUPLICATION:
+        if len(self.answers) > MAX_CACHED_ANSWERS:
             self.answers.popitem(last=False)
         return Reply(source, data)
 
 
-def name_of(request: wire.CoapMessage) -> str:
-    """Returns the name that a request carries: its path's last segment."""
+def request_name(request: wire.CoapMessage) -> str:
+    """Returns the name of a request: the last segment of its path."""
     return request.path[-1] if request.path else ""
--- a/notchhoist/testing/caller.py
+++ b/notchhoist/testing/caller.py
@@ -1,7 +1,8 @@
-"""Stand-in of a caller: sans-I/O CoAP client with retransmission.
+"""Model of a caller: a sans-I/O CoAP client with retransmission.
 
-A caller has one endpoint and works through its tasks one after another. Paths
-are ``/KIND/SERVICE/NAME``; the name makes every answer checkable.
+A caller has one endpoint and performs its tasks one after another. Paths are
+``/KIND/SERVICE/NAME``. The name is unique, so that each response can be matched
+with its request.
 """
 
 import enum
@@ -29,7 +30,7 @@
 
 
 class Mode(enum.StrEnum):
-    """What a task is."""
+    """Form of a task."""
 
     REQUEST = "request"
     UPLOAD = "upload"
@@ -38,17 +39,19 @@
 
 @attrs.frozen
 class Task:
-    """Something that a caller does.
+    """A request, an upload or a stream of a caller.
 
     Attributes:
-        kind: First segment of the path, and name of the kind.
+        kind: Name of the kind of request, the first segment of the path.
         method: CoAP method.
-        service: Service that it asks.
-        name: Name of the request, unique in the run.
-        mode: A request, an upload in blocks, or a stream.
-        size: Upload: bytes. Stream: notifications to take.
-        tagged: The request carries its name as Request-Tag.
-        pause_s: Time to wait before it, seconds.
+        service: Service to which the request goes.
+        name: Name of the request, unique in a run.
+        mode: Plain request, block-wise upload or stream.
+        size: Bytes of an upload, or notifications after which a stream is
+            closed.
+        tagged: Whether a plain request carries its name as Request-Tag;
+            uploads always do.
+        pause_s: Time to wait before the task, seconds.
     """
 
     kind: str
@@ -63,14 +66,26 @@
 
 @attrs.define
 class CallerModel:
-    """A caller.
+    """A simulated caller.
 
     Attributes:
-        tasks: What is left to do, first one first.
-        history: Where answers are recorded.
-        rng: Source of message IDs, tokens and timeouts.
-        current: The task under way, or None.
-        told: How many tasks have ended.
+        tasks: Tasks not yet begun, in order.
+        history: Records the result of each task.
+        rng: Source of tokens, retransmission timeouts and the first message
+            ID.
+        current: The current task, or None.
+        mid: Message ID of the last request.
+        token: Token of the last request.
+        datagram: The last request, encoded for retransmission.
+        began_at: Start of the current task, seconds.
+        start_at: Start of the next task, seconds; 0 if not yet determined.
+        resend_at: Time of the next retransmission, seconds, or None.
+        resend_gap: Current retransmission timeout, seconds.
+        resends: Retransmissions of the last request.
+        block: Number of the current block of an upload.
+        notified: Notifications received by the current stream.
+        heard_at: Time of the last notification, seconds.
+        told: Number of finished tasks.
     """
 
     tasks: list[Task]
@@ -91,15 +106,15 @@
     told: int = 0
 
     def is_done(self) -> bool:
-        """Tells whether every task has ended."""
+        """Returns whether every task has finished."""
         return self.current is None and not self.tasks
 
     def tick(self, now: float) -> list[bytes]:
-        """Sends what is due."""
+        """Returns the datagrams that are due; ends a task that timed out."""
         if self.current is None:
             return self._next_task(now)
         if self.notified:
-            return self._watch_stream(now)
+            return self._check_stream(now)
         if now - self.began_at > ANSWER_TIMEOUT_S:
             return self._end(Result.SILENT, "", now)
         if self.resend_at is not None and now >= self.resend_at:
@@ -166,14 +181,14 @@
         self.resend_at = now + self.resend_gap
         return [self.datagram]
 
-    def _watch_stream(self, now: float) -> list[bytes]:
+    def _check_stream(self, now: float) -> list[bytes]:
         if now - self.heard_at <= STREAM_SILENCE_S:
             return []
         self.history.broken["stream_silent"] += 1
         return self._end(Result.FAILED, "silent", now)
 
     def receive(self, datagram: bytes, now: float) -> list[bytes]:
-        """Takes a datagram and returns what to send."""
+        """Handles a received datagram and returns the datagrams to send."""
         try:
             message = wire.decode_coap(datagram)
         except model.CodecError:
@@ -269,6 +284,6 @@
 def make_caller(
     tasks: Sequence[Task], history: History, seed: int
 ) -> CallerModel:
-    """Makes a caller that works through tasks."""
+    """Creates a caller that performs tasks in order."""
     rng = random.Random(seed)
     return CallerModel(list(tasks), history, rng, mid=rng.getrandbits(MID_BITS))
--- a/notchhoist/testing/changes.py
+++ b/notchhoist/testing/changes.py
@@ -1,4 +1,4 @@
-"""Planned changes and deaths in a fake deployment of streams and uploads."""
+"""Planned changes and host failures while streams and uploads are open."""
 
 import random
 from collections.abc import Callable
@@ -22,19 +22,19 @@
 UPLOADS_EACH = 2
 NOTIFICATIONS = 50
 UPLOAD_BYTES = 24_000
-SETTLED_S = 5.0
-LIMIT_S = 150.0
+WARM_UP_S = 5.0
+TIME_LIMIT_S = 150.0
 REPLACE_EVERY_S = 4.0
 AWAY_S = 2.0
 
 
 @attrs.define
 class Site:
-    """A deployment under change.
+    """A simulated deployment whose configuration changes.
 
     Attributes:
-        world: The fake network.
-        configuration: The document as last published.
+        world: The simulated network.
+        configuration: The last published configuration.
     """
 
     world: World
@@ -42,11 +42,11 @@
 
     @property
     def service(self) -> model.Service:
-        """The service as last published."""
+        """The service in the last published configuration."""
         return self.configuration.services[0]
 
     def publish(self, *servers: model.BackendServer) -> None:
-        """Publishes another list of servers as the next revision."""
+        """Publishes a new list of backend servers as the next revision."""
         service = attrs.evolve(self.service, servers=servers)
         self.configuration = attrs.evolve(
             self.configuration,
@@ -68,7 +68,7 @@
         self.publish(*self.service.servers[1:])
 
     def attach_and_detach(self) -> None:
-        """Attaches one and detaches another almost at once."""
+        """Attaches a backend server and detaches another 10 ms later."""
         self.attach()
         self.world.at(0.01, self.detach)
 
@@ -79,7 +79,7 @@
         self.publish(attrs.evolve(first, state=state), *others)
 
     def weigh(self) -> None:
-        """Gives the first backend server five times its weight."""
+        """Sets the weight of the first backend server to 5."""
         first, *others = self.service.servers
         self.publish(attrs.evolve(first, weight=5.0), *others)
 
@@ -89,7 +89,7 @@
             self.replace(peer, place * REPLACE_EVERY_S)
 
     def restart_agent(self) -> None:
-        """Restarts the first agent beside its living backend server."""
+        """Restarts the first agent while its backend server keeps running."""
         self.replace(self.service.servers[0].agent, 0.0)
 
     def restart_agents(self) -> None:
@@ -98,7 +98,10 @@
             self.replace(agent, place * REPLACE_EVERY_S)
 
     def replace(self, peer: model.Endpoint, delay: float = 0.0) -> None:
-        """Replaces the node of a host."""
+        """Kills the node of a host after a delay and restarts it later.
+
+        A balancer receives no datagrams of callers in between.
+        """
         world = self.world
         is_entry = peer in world.entries
 
@@ -116,13 +119,13 @@
         world.at(delay + AWAY_S, come_back)
 
     def kill_host(self) -> None:
-        """The first backend server host dies with all that runs on it."""
+        """Kills the first agent and its backend server for good."""
         agent = self.service.servers[0].agent
         self.world.kill(agent)
         del self.world.backends[agent]
 
     def established_at(self, agent: model.Endpoint) -> int:
-        """Returns how many streams and uploads a backend server has."""
+        """Returns how many streams and uploads a backend server has open."""
         backend = self.world.backends[agent]
         return len(backend.observers) + len(backend.uploads)
 
@@ -142,14 +145,14 @@
 def make_site(
     seed: int, adapt: Callable[[controllers.Node], None] | None = None
 ) -> Site:
-    """Makes a deployment with established streams and uploads.
+    """Creates a deployment with open streams and uploads.
 
     Args:
-        seed: Seed of everything in the run.
-        adapt: Changes each node at its start.
+        seed: Seed of all randomness in the run.
+        adapt: Modifies each node at its start.
 
     Returns:
-        The site, a few seconds after its callers began.
+        The deployment, ``WARM_UP_S`` seconds after its callers began.
     """
     world = World(random.Random(seed), adapt=adapt)
     configuration = build_world(
@@ -162,7 +165,7 @@
     trust_first_start(world)
     world.run(2.0)
     _add_callers(world)
-    world.run(SETTLED_S)
+    world.run(WARM_UP_S)
     return Site(world, configuration)
 
 
@@ -195,33 +198,33 @@
 
 
 def flows_of_run() -> int:
-    """Returns how many streams and uploads a run has."""
+    """Returns the number of streams and uploads in a run."""
     return STREAMS + UPLOADS * UPLOADS_EACH
 
 
 def finish(site: Site) -> bool:
-    """Lets every caller finish; False at the limit."""
-    return site.world.run_until(site.world.callers_done, LIMIT_S)
+    """Runs until every caller is done; returns False at the time limit."""
+    return site.world.run_until(site.world.callers_done, TIME_LIMIT_S)
 
 
-CHANGES_S = 12.0
-CHANGE_GAP_S = 0.8
+CHANGE_PERIOD_S = 12.0
+MEAN_CHANGE_GAP_S = 0.8
 RESTART_GAP_S = 6.0
-FEWEST_ACTIVE = 3
+MIN_ACTIVE_SERVERS = 3
 
 
 @attrs.define
 class Operator:
-    """Somebody who changes a site at random, several things at once.
+    """Changes a deployment at random; changes may overlap.
 
-    No two agents are away at the same moment.
+    Agent restarts are so far apart that no two agents are down at once.
 
     Attributes:
-        site: The site.
-        rng: Source of the changes.
-        done: Names of the changes so far.
-        restart_after: No agent is restarted before this time, seconds.
-        attached: How many servers have been attached.
+        site: The deployment.
+        rng: Source of the random choice and timing of changes.
+        done: Names of the changes made so far.
+        restart_after: Earliest time of the next agent restart, seconds.
+        attached: Number of backend servers attached so far.
     """
 
     site: Site
@@ -242,25 +245,25 @@
     def detach(self) -> None:
         """Detaches a backend server while enough are left."""
         servers = self.site.service.servers
-        if len(servers) <= FEWEST_ACTIVE + 1:
+        if len(servers) <= MIN_ACTIVE_SERVERS + 1:
             return
-        gone = self.rng.choice(servers)
-        self.site.publish(*[item for item in servers if item != gone])
+        removed = self.rng.choice(servers)
+        self.site.publish(*[item for item in servers if item != removed])
 
     def drain(self) -> None:
-        """Drains a backend server, or ends that."""
+        """Drains a backend server, or reactivates a draining one."""
         servers = self.site.service.servers
         chosen = self.rng.choice(servers)
         active = [s for s in servers if s.state is model.ServerState.ACTIVE]
         state = model.ServerState.ACTIVE
         if chosen in active:
-            if len(active) <= FEWEST_ACTIVE:
+            if len(active) <= MIN_ACTIVE_SERVERS:
                 return
             state = model.ServerState.DRAINING
         self._change(chosen, attrs.evolve(chosen, state=state))
 
     def weigh(self) -> None:
-        """Gives a backend server another weight."""
+        """Gives a backend server a random weight."""
         chosen = self.rng.choice(self.site.service.servers)
         weight = self.rng.uniform(0.5, 5.0)
         self._change(chosen, attrs.evolve(chosen, weight=weight))
@@ -272,7 +275,7 @@
         self.site.publish(*[new if item == old else item for item in servers])
 
     def restart_agent(self) -> None:
-        """Restarts an agent beside its living backend server."""
+        """Restarts an agent while its backend server keeps running."""
         now = self.site.world.now
         if now < self.restart_after:
             return
@@ -285,11 +288,11 @@
         if len(entries) > 1:
             self.site.replace(self.rng.choice(entries))
 
-    def work(self) -> None:
-        """Plans changes at random for a while."""
+    def schedule_changes(self) -> None:
+        """Schedules random changes over ``CHANGE_PERIOD_S`` seconds."""
         at = 0.0
-        while at < CHANGES_S:
-            at += self.rng.expovariate(1.0 / CHANGE_GAP_S)
+        while at < CHANGE_PERIOD_S:
+            at += self.rng.expovariate(1.0 / MEAN_CHANGE_GAP_S)
             change = self.rng.choice(
                 [
                     self.attach,
@@ -301,9 +304,9 @@
                     self.replace_balancer,
                 ]
             )
-            self.site.world.at(at, self._noted(change))
+            self.site.world.at(at, self._recorded(change))
 
-    def _noted(self, change: Callable[[], None]) -> Callable[[], None]:
+    def _recorded(self, change: Callable[[], None]) -> Callable[[], None]:
         def run() -> None:
             self.done.append(change.__name__)
             change()
@@ -314,8 +317,8 @@
 def run_random_changes(
     seed: int, adapt: Callable[[controllers.Node], None] | None = None
 ) -> Site:
-    """Runs a site under random planned changes to its end."""
+    """Runs a deployment with random planned changes to its end."""
     site = make_site(seed, adapt)
-    Operator(site, random.Random(seed * 7 + 1)).work()
+    Operator(site, random.Random(seed * 7 + 1)).schedule_changes()
     finish(site)
     return site
--- a/notchhoist/testing/chaos.py
+++ b/notchhoist/testing/chaos.py
@@ -1,8 +1,8 @@
-"""Seeded runs with faults of every kind, together and twice.
+"""Seeded simulations with random faults, which may overlap and repeat.
 
-One service with a few agents and balancers gets bookings while processes die,
-start anew, pause, are cut off, and the configuration changes. What the run
-did to the promises is in its history.
+One service with a few agents and balancers receives bookings while processes
+are killed, restarted, paused and isolated, and while the configuration
+changes. The history of the run shows whether its guarantees held.
 """
 
 import random
@@ -27,15 +27,15 @@
 IDLE_S = 20.0
 SERVICE_S = 0.2
 STORM_GAP_S = 0.8
-"""Mean time between faults in a storm, seconds."""
+"""Mean time between frequent faults, seconds."""
 
 MILD_GAP_S = 6.0
-"""Mean time between faults on a bad day, seconds."""
+"""Mean time between occasional faults, seconds."""
 
 CALLERS = 16
 BOOKINGS = 4
-FAULTY_S = 25.0
-LIMIT_S = 220.0
+FAULT_PERIOD_S = 25.0
+TIME_LIMIT_S = 220.0
 
 PLAN = attrs.evolve(
     HALLBOOK,
@@ -58,15 +58,15 @@
 
 @attrs.define
 class Chaos:
-    """A run under faults.
+    """A simulation with random faults.
 
     Attributes:
-        world: The fake network.
-        configuration: The document as the operator last published it.
-        rng: Source of the faults.
+        world: The simulated network.
+        configuration: The last published configuration.
+        rng: Source of the random choice and timing of faults.
         gap_s: Mean time between faults, seconds.
-        added: How many servers have been attached so far.
-        faults: Names of the faults so far.
+        added: Number of backend servers attached so far.
+        faults: Names of the faults injected so far.
     """
 
     world: World
@@ -81,11 +81,14 @@
         return self.configuration.services[0]
 
     def agents(self) -> list[model.Endpoint]:
-        """Returns the published agents."""
+        """Returns the agents of the last published configuration."""
         return list(self.service().agents())
 
     def publish(self, service: model.Service) -> None:
-        """Publishes a changed service as the next revision."""
+        """Publishes a changed service as the next revision.
+
+        Does nothing while the platform is down.
+        """
         if self.world.platform.down:
             return
         self.configuration = attrs.evolve(
@@ -96,11 +99,11 @@
         self.world.publish(self.configuration)
 
     def kill_agent(self) -> None:
-        """An agent dies; it starts anew a little later."""
+        """Kills an agent and restarts it a little later."""
         self._restart_later(self.rng.choice(self.agents()), 0.2, 4.0)
 
     def kill_balancer(self) -> None:
-        """A balancer dies; it starts anew a little later."""
+        """Kills a balancer and restarts it a little later."""
         self._restart_later(self.rng.choice(self.world.entries), 0.2, 3.0)
 
     def _restart_later(
@@ -111,25 +114,28 @@
         self.world.at(delay, lambda: self.restart(peer))
 
     def restart(self, peer: model.Endpoint) -> None:
-        """Starts a dead node anew; a living one stays as it is."""
+        """Restarts a node that was killed; a running one is left alone."""
         host = self.world.hosts[peer]
         if host.node is None:
             self.world.start(peer)
 
     def kill_host(self) -> None:
-        """A backend server host dies with all that runs on it."""
+        """Kills a host with its agent and backend server and restarts both.
+
+        The backend server restarts at once, the agent a little later.
+        """
         peer = self.rng.choice(self.agents())
         profile = self.world.backends[peer].profile
         self.world.add_backend(peer, profile)
         self._restart_later(peer, 1.0, 5.0)
 
     def pause_agent(self) -> None:
-        """An agent is stopped and wakes up, perhaps very late."""
+        """Pauses an agent for a short or very long time."""
         seconds = self.rng.choice((0.3, 0.9, 2.0, 5.0, 40.0))
         self._pause(self.rng.choice(self.agents()), seconds)
 
     def pause_balancer(self) -> None:
-        """A balancer is stopped and wakes up, perhaps very late."""
+        """Pauses a balancer for a short or very long time."""
         seconds = self.rng.choice((0.3, 0.9, 3.0, 90.0))
         self._pause(self.rng.choice(self.world.entries), seconds)
 
@@ -139,7 +145,7 @@
             self.world.pause(peer, seconds)
 
     def cut_agents(self) -> None:
-        """Some agents are cut off from the others for a while."""
+        """Cuts some agents off from the others for a while."""
         agents = self.agents()
         self.rng.shuffle(agents)
         size = self.rng.randint(1, len(agents) // 2)
@@ -147,31 +153,31 @@
         self.world.at(self.rng.uniform(0.5, 6.0), self.world.heal)
 
     def cut_balancer(self) -> None:
-        """A balancer is cut off from some agents for a while."""
+        """Cuts a balancer off from two agents for a while."""
         agents = self.rng.sample(self.agents(), 2)
         self.world.cut([self.rng.choice(self.world.entries)], agents)
         self.world.at(self.rng.uniform(0.5, 6.0), self.world.heal)
 
     def attach_server(self) -> None:
-        """The operator attaches a backend server."""
+        """Attaches a new backend server to the service."""
         place = len(PLAN.slots) + self.added
         self.added += 1
-        server = server_of(_wide(place), 0, place)
+        server = server_of(_plan_with_server(place), 0, place)
         add_server(self.world, PLAN.name, server, IDLE_S, SERVICE_S)
         service = self.service()
         self.publish(attrs.evolve(service, servers=(*service.servers, server)))
 
     def detach_server(self) -> None:
-        """The operator detaches a backend server."""
+        """Detaches a backend server while enough are left."""
         service = self.service()
         if len(service.servers) <= len(PLAN.slots) - 1:
             return
-        gone = self.rng.choice(service.servers)
-        left = tuple(item for item in service.servers if item != gone)
-        self.publish(attrs.evolve(service, servers=left))
+        removed = self.rng.choice(service.servers)
+        remaining = tuple(item for item in service.servers if item != removed)
+        self.publish(attrs.evolve(service, servers=remaining))
 
     def drain_server(self) -> None:
-        """The operator drains a backend server, or ends that."""
+        """Drains a backend server, or reactivates a draining one."""
         service = self.service()
         chosen = self.rng.choice(service.servers)
         states = {
@@ -187,7 +193,7 @@
         self.publish(attrs.evolve(service, servers=servers))
 
     def platform_outage(self) -> None:
-        """The platform is down, or serves an old document, for a while."""
+        """Makes the platform fail or serve a stale document for a while."""
         state = self.world.platform
         if self.rng.random() < 0.5:
             state.down = True
@@ -201,7 +207,7 @@
         self.world.at(self.rng.uniform(1.0, 10.0), end)
 
     def faulty_things(self) -> list[Callable[[], None]]:
-        """Returns every fault there is."""
+        """Returns a function for each fault that can be injected."""
         return [
             self.kill_agent,
             self.kill_balancer,
@@ -216,18 +222,22 @@
             self.platform_outage,
         ]
 
-    def strike(self) -> None:
-        """Lets one thing go wrong, or two together, and plans the next."""
-        things = self.faulty_things()
-        for thing in self.rng.sample(things, self.rng.choice((1, 1, 2))):
-            self.faults.append(thing.__name__)
-            thing()
-        if self.world.now < FAULTY_S:
+    def inject_faults(self) -> None:
+        """Injects one or two faults and schedules the next ones."""
+        faults = self.faulty_things()
+        for fault in self.rng.sample(faults, self.rng.choice((1, 1, 2))):
+            self.faults.append(fault.__name__)
+            fault()
+        if self.world.now < FAULT_PERIOD_S:
             gap = self.rng.expovariate(1.0 / self.gap_s)
-            self.world.at(gap, self.strike)
+            self.world.at(gap, self.inject_faults)
 
     def recover(self) -> None:
-        """Ends every fault, so that callers can finish."""
+        """Ends lasting faults, so that callers can finish.
+
+        Links and the platform are restored and killed nodes restarted. Pauses
+        and changes of the configuration stay as they are.
+        """
         self.world.heal()
         self.world.platform.down = False
         self.world.platform.stale = None
@@ -235,21 +245,23 @@
             self.restart(peer)
 
     def let_callers_finish(self) -> bool:
-        """Runs until every caller is done; False at the limit."""
-        self.world.run(FAULTY_S + 5.0)
+        """Runs until every caller is done; returns False at the time limit."""
+        self.world.run(FAULT_PERIOD_S + 5.0)
         self.recover()
-        return self.world.run_until(self.world.callers_done, LIMIT_S)
+        return self.world.run_until(self.world.callers_done, TIME_LIMIT_S)
 
 
-def _wide(place: int) -> ServicePlan:
+def _plan_with_server(place: int) -> ServicePlan:
     return attrs.evolve(PLAN, slots=(3,) * (place + 1))
 
 
 def trust_first_start(world: World) -> None:
-    """Lets witnesses and homes of a first start speak at once.
+    """Marks the memory of all agents as complete.
 
-    A fleet that has never run has nothing to remember; without this every
-    run would begin with a whole lifetime of waiting.
+    Witnesses and home agents that started recently do not answer until their
+    records span the memory lifetime. In a fleet that has never run before there
+    is nothing that they could miss; without this function, each simulation
+    would begin by waiting for a whole memory lifetime.
     """
     for host in world.hosts.values():
         if isinstance(host.node, controllers.AgentNode):
@@ -261,21 +273,21 @@
 def make_chaos(
     seed: int, adapt: Adapt | None = None, gap_s: float = STORM_GAP_S
 ) -> Chaos:
-    """Makes a run under faults.
+    """Creates a simulation with random faults.
 
     Args:
-        seed: Seed of everything in the run.
-        adapt: Changes each node at its start.
+        seed: Seed of all randomness in the run.
+        adapt: Modifies each node at its start.
         gap_s: Mean time between faults, seconds.
 
     Returns:
-        The run, before its first fault.
+        The simulation, before its first fault.
     """
     world = World(
         random.Random(seed),
         loss=0.01,
         duplication=0.05,
-        late_s=3.0,
+        max_late_s=3.0,
         adapt=adapt,
     )
     configuration = build_world(
@@ -288,7 +300,7 @@
 
 
 def add_bookings(chaos: Chaos) -> None:
-    """Adds callers that book during the faults."""
+    """Adds callers that send bookings while faults are injected."""
     for number in range(CALLERS):
         tasks = [
             Task(
@@ -297,7 +309,7 @@
                 PLAN.name,
                 f"b{number:02}{turn}",
                 tagged=number % 2 == 1,
-                pause_s=chaos.rng.uniform(0.0, FAULTY_S / BOOKINGS),
+                pause_s=chaos.rng.uniform(0.0, FAULT_PERIOD_S / BOOKINGS),
             )
             for turn in range(BOOKINGS)
         ]
@@ -308,10 +320,10 @@
 def run_chaos(
     seed: int, adapt: Adapt | None = None, gap_s: float = STORM_GAP_S
 ) -> Chaos:
-    """Runs bookings under faults to the end and returns the run."""
+    """Runs a simulation of bookings with random faults to its end."""
     chaos = make_chaos(seed, adapt, gap_s)
     chaos.world.run(2.0)
     add_bookings(chaos)
-    chaos.world.at(0.1, chaos.strike)
+    chaos.world.at(0.1, chaos.inject_faults)
     chaos.let_callers_finish()
     return chaos
--- a/notchhoist/testing/deployment.py
+++ b/notchhoist/testing/deployment.py
@@ -1,4 +1,4 @@
-"""The brief's deployments, in small, for fakes and for real processes."""
+"""Reference deployments in small size, for simulations and processes."""
 
 import attrs
 
@@ -31,13 +31,13 @@
 
 @attrs.frozen
 class ServicePlan:
-    """A service as the brief sizes it.
+    """Name, size and kinds of requests of a service.
 
     Attributes:
-        name: Its name.
+        name: Name of the service.
         zones: Availability zones of its deployment.
-        slots: Slots of each backend server.
-        kinds: Its kinds of request.
+        slots: Number of slots of each backend server.
+        kinds: Kinds of requests that the service accepts.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
 
 def balancer_host(number: int, zones: tuple[str, ...]) -> model.BalancerHost:
-    """Returns the entry host of a number, at a fake endpoint."""
+    """Returns the balancer host with a number, at a simulated endpoint."""
     return model.BalancerHost(
         name=f"entry-{number}",
         zone=zones[number % len(zones)],
@@ -70,7 +70,7 @@
 def service_of(
     plan: ServicePlan, number: int, memory_s: float
 ) -> model.Service:
-    """Returns a service at fake endpoints."""
+    """Returns a service with all backend servers, at simulated endpoints."""
     servers = tuple(
         server_of(plan, number, place) for place in range(len(plan.slots))
     )
@@ -86,7 +86,7 @@
 def server_of(
     plan: ServicePlan, number: int, place: int
 ) -> model.BackendServer:
-    """Returns a backend server at fake endpoints."""
+    """Returns the backend server at an index, at simulated endpoints."""
     host = f"10.{number + 1}.0.{place + 1}"
     slots = plan.slots[place % len(plan.slots)]
     return model.BackendServer(
@@ -99,7 +99,7 @@
 
 
 def balancer_maker(host: model.BalancerHost) -> MakeNode:
-    """Returns what makes the node of an entry host at each start."""
+    """Returns a factory that creates the node of a balancer host."""
     identity = blackboards.BalancerIdentity(host.name, host.zone, host.peer)
 
     def make(now: float, seed: int) -> controllers.Node:
@@ -114,7 +114,10 @@
     idle_s: float,
     seeds: tuple[model.Endpoint, ...] = (),
 ) -> MakeNode:
-    """Returns what makes the node of an agent at each start."""
+    """Returns a factory that creates the node of an agent.
+
+    Each start gets another incarnation, derived from the seed.
+    """
 
     def make(now: float, seed: int) -> controllers.Node:
         identity = blackboards.AgentIdentity(
@@ -137,7 +140,7 @@
     idle_s: float,
     service_s: float,
 ) -> None:
-    """Starts an agent and its backend server."""
+    """Starts an agent and its backend server in a simulated network."""
     seeds = tuple(world.entries[:2])
     make = agent_maker(service, server, idle_s, seeds)
     world.add_host(server.name, server.agent, make)
@@ -155,15 +158,16 @@
     idle_s: float = 20.0,
     service_s: float = 0.05,
 ) -> model.Configuration:
-    """Starts deployments in a fake world and publishes their document.
+    """Starts deployments in a simulated network and publishes them.
 
     Args:
-        world: Where.
-        plans: Services.
-        balancers: How many entry hosts.
-        memory_s: Memory of once-only identities, seconds.
+        world: The simulated network.
+        plans: Services to deploy.
+        balancers: Number of balancer hosts.
+        memory_s: Memory lifetime of identities of non-repeatable requests,
+            seconds.
         idle_s: Idle timeout of flows, seconds.
-        service_s: Time that a request takes at a backend server, seconds.
+        service_s: Time to process a request at a backend server, seconds.
 
     Returns:
         The published configuration.
--- a/notchhoist/testing/fabric.py
+++ b/notchhoist/testing/fabric.py
@@ -1,7 +1,7 @@
-"""Stand-in of the fabric: any datagram may go to any balancer.
+"""Test double of the network fabric: sends datagrams to random balancers.
 
-For each caller it keeps one socket towards the balancers, whose endpoint is
-the caller's as the system sees it.
+It keeps one socket towards the balancers for each caller. The balancers see
+the endpoint of that socket as the caller's endpoint.
 """
 
 import random
@@ -19,14 +19,14 @@
 
 @attrs.define(eq=False)
 class Fabric:
-    """Sprays the datagrams of one service's callers.
+    """Spreads the datagrams of the callers of one service over balancers.
 
     Attributes:
-        entry: Port that callers send to.
+        entry: UDP port to which callers send.
         targets: Endpoint of the service at each balancer.
-        rng: Source of the draws.
-        tasks: Where the callers' sockets are read.
-        callers: Socket towards the balancers for each caller.
+        rng: Source of the random choice of a balancer.
+        tasks: Task group in which the callers' sockets are read.
+        callers: Socket towards the balancers, by endpoint of the caller.
     """
 
     entry: UdpPort
@@ -36,7 +36,7 @@
     callers: dict[model.Endpoint, UdpPort] = attrs.Factory(dict)
 
     async def run(self) -> None:
-        """Carries datagrams until cancelled."""
+        """Forwards datagrams until cancelled."""
         await self.entry.run(self._on_caller)
 
     def _on_caller(self, data: bytes, caller: model.Endpoint) -> None:
--- a/notchhoist/testing/fleet.py
+++ b/notchhoist/testing/fleet.py
@@ -1,7 +1,7 @@
-"""Many sans-I/O nodes of one fleet, for measures of control traffic.
+"""Large simulated fleets for measuring control traffic.
 
-The fleet serves no callers; it relays configuration, reports loads, and is
-counted.
+The fleet serves no callers. Its nodes relay the configuration and report
+loads, and the messages and bytes between them are counted.
 """
 
 import random
@@ -15,25 +15,25 @@
 ZONES = tuple(f"zone-{number}" for number in range(8))
 SERVERS_PER_SERVICE = 10
 AGENTS_PER_BALANCER = 7.4
-"""4,300 backend servers before 580 balancers."""
+"""Ratio of a fleet of 4,300 backend servers and 580 balancers."""
 
 KIND = model.Kind("booking", "POST", "booking", 40, False, 8.0)
 
 
 @attrs.define
 class Fleet:
-    """A fleet of nodes in a fake network.
+    """A fleet of nodes in a simulated network.
 
     Attributes:
-        world: The network.
-        configuration: The document as last published.
+        world: The simulated network.
+        configuration: The last published configuration.
     """
 
     world: World
     configuration: model.Configuration
 
     def publish_weight(self, weight: float) -> None:
-        """Publishes another weight of the first server."""
+        """Publishes a new weight for the first backend server."""
         first, *others = self.configuration.services
         server, *servers = first.servers
         server = attrs.evolve(server, weight=weight)
@@ -45,30 +45,33 @@
         )
         self.world.publish(self.configuration)
 
-    def concerned(self) -> list[model.Endpoint]:
-        """Returns the nodes that have to have the newest revision."""
+    def affected_nodes(self) -> list[model.Endpoint]:
+        """Returns the nodes that must receive the newest revision.
+
+        These are all balancers and the agents of the first service.
+        """
         balancers = [host.peer for host in self.configuration.balancers]
         return balancers + list(self.configuration.services[0].agents())
 
     def behind(self) -> int:
-        """Returns how many of those have an older one."""
+        """Returns how many affected nodes lack the newest revision."""
         newest = self.configuration.revision
         return sum(
             node is None or node.board.config.store.revision < newest
             for node in (
-                self.world.hosts[peer].node for peer in self.concerned()
+                self.world.hosts[peer].node for peer in self.affected_nodes()
             )
         )
 
     def everywhere_after(self, limit: float, step: float = 0.05) -> float:
-        """Lets time pass until the newest revision is in force everywhere.
+        """Runs until the newest revision is in force on all affected nodes.
 
         Args:
-            limit: Longest time, seconds.
-            step: Resolution, seconds.
+            limit: Time limit, seconds.
+            step: Interval between checks, seconds.
 
         Returns:
-            The time it took, or infinity.
+            The time that it took, seconds, or infinity at the limit.
         """
         began = self.world.now
         while self.world.now - began < limit:
@@ -79,11 +82,11 @@
 
 
 def make_fleet(nodes: int, seed: int) -> Fleet:
-    """Makes a fleet of about a number of nodes.
+    """Creates a fleet of about a given number of nodes.
 
     Args:
-        nodes: Balancers and agents together.
-        seed: Seed of every draw.
+        nodes: Number of balancers and agents together.
+        seed: Seed of all randomness.
 
     Returns:
         The fleet, just started.
--- a/notchhoist/testing/history.py
+++ b/notchhoist/testing/history.py
@@ -1,7 +1,7 @@
-"""History of a concurrent run, and the checks of what must always hold.
+"""History of a concurrent run and the checks of its invariants.
 
-Requests carry a name of their own in the payload or path, so that the history
-of the backend servers and that of the callers can be held against each other.
+Each request carries a unique name in its payload or path, so that the records
+of the backend servers can be compared with those of the callers.
 """
 
 import collections
@@ -12,7 +12,7 @@
 
 
 class Result(enum.StrEnum):
-    """What a caller was told."""
+    """Result of a request as its caller sees it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Started:
-    """A backend server began to work on a request.
+    """Record that a backend server began to process a request.
 
     Attributes:
         at: Runtime clock, seconds.
         service: Service of the backend server.
         server: Name of the backend server.
         request: Name of the request.
-        once: The request must not be repeated.
+        once: Whether the request is non-repeatable.
     """
 
     at: float
@@ -43,15 +43,15 @@
 
 @attrs.frozen
 class Told:
-    """A caller got the final answer to a request.
+    """Record of the final result of a request at its caller.
 
     Attributes:
         at: Runtime clock, seconds.
-        service: Service that the caller asked.
+        service: Service to which the request went.
         request: Name of the request.
-        result: What it was told.
-        payload: Payload of the answer.
-        latency_s: Time since the request was first sent, seconds.
+        result: The result.
+        payload: Payload of the response.
+        latency_s: Time since the task began, seconds.
         kind: Kind of request.
     """
 
@@ -66,10 +66,10 @@
 
 @attrs.frozen
 class Violation:
-    """A promise that a history breaks.
+    """A guarantee that a history violates.
 
     Attributes:
-        promise: Short name of the promise.
+        promise: Short name of the guarantee.
         request: Name of the request.
         detail: What happened.
     """
@@ -81,13 +81,14 @@
 
 @attrs.define
 class History:
-    """What happened, in order.
+    """Events of a run, in order.
 
     Attributes:
-        started: Starts of work at backend servers.
-        told: Answers to callers.
-        misdirected: Requests that reached a server of another service.
-        broken: Broken flows by cause.
+        started: Starts of requests at backend servers.
+        told: Final results at callers.
+        misdirected: Names of requests that reached a backend server of
+            another service.
+        broken: Number of broken flows by cause.
     """
 
     started: list[Started] = attrs.Factory(list)
@@ -96,11 +97,11 @@
     broken: collections.Counter[str] = attrs.Factory(collections.Counter)
 
     def check(self) -> list[Violation]:
-        """Returns every broken promise."""
+        """Returns every violation of a guarantee."""
         return [
             *_repeated(self.started),
             *_run_after_not_run(self.started, self.told),
-            *_crossed_answers(self.told),
+            *_mismatched_answers(self.told),
             *_wrong_service(self),
         ]
 
@@ -121,7 +122,7 @@
             yield Violation("truthful not run", item.request, "it was started")
 
 
-def _crossed_answers(told: list[Told]) -> Iterator[Violation]:
+def _mismatched_answers(told: list[Told]) -> Iterator[Violation]:
     for item in told:
         answered = item.result is Result.ANSWERED
         if answered and item.request not in item.payload:
--- a/notchhoist/testing/retry_budget.py
+++ b/notchhoist/testing/retry_budget.py
@@ -1,7 +1,7 @@
-"""Retry budget: retries as a fraction of successes.
+"""Retry budget that limits retries to a fraction of successes.
 
-The idea and the figures of the floor, the burst and the full bucket at the
-start are from "Deep dive: the retry budget (NResilience)".
+The algorithm and the values of the floor rate, of the burst and of the bucket,
+which is full at the start, are from "Deep dive: the retry budget (NResilience)".
 """
 
 import math
@@ -9,14 +9,14 @@
 import attrs
 
 BURST_S = 10.0
-"""The bucket holds this many seconds of the floor rate."""
+"""Capacity of the bucket, in seconds of the floor rate."""
 
 
 @attrs.define
 class RetryBudget:
-    """A token bucket that successes fill and retries empty.
+    """A token bucket to which successes add and from which retries take.
 
-    First attempts are never charged.
+    First attempts take no token.
 
     Examples:
         >>> budget = RetryBudget(fraction=0.1, floor_per_s=0.0, tokens=0.0)
@@ -26,10 +26,10 @@
         (True, False)
 
     Attributes:
-        fraction: Tokens that each success brings.
-        floor_per_s: Tokens that each second brings.
-        capacity: Most tokens kept.
-        tokens: Tokens at hand; full at the start.
+        fraction: Tokens added by each success.
+        floor_per_s: Tokens added each second without any success.
+        capacity: Largest number of tokens in the bucket.
+        tokens: Tokens in the bucket, which is full at the start.
         refilled_at: Runtime clock of the last refill, seconds, or None.
     """
 
@@ -48,12 +48,12 @@
         return self.capacity
 
     def deposit(self, now: float) -> None:
-        """Notes a success."""
+        """Adds the tokens of a success."""
         self._refill(now)
         self.tokens = min(self.capacity, self.tokens + self.fraction)
 
     def try_spend(self, now: float) -> bool:
-        """Takes a token for a retry, or tells that there is none."""
+        """Takes a token for a retry; returns False if there is none."""
         self._refill(now)
         if self.tokens < 1.0 - 1e-9:
             return False
@@ -61,11 +61,11 @@
         return True
 
     def retry_after_s(self, now: float) -> int | None:
-        """Returns when the floor funds the next token, whole seconds.
+        """Returns the time until the floor rate supplies the next token.
 
         Returns:
-            None where there is no floor: nobody can tell when the next
-            success comes.
+            Whole seconds, rounded up, or None without a floor rate, as the
+            time of the next success is unknown.
         """
         self._refill(now)
         if self.floor_per_s <= 0.0:
--- a/notchhoist/testing/world.py
+++ b/notchhoist/testing/world.py
@@ -1,8 +1,9 @@
-"""A small fake network that drives nodes on a clock of its own.
+"""Discrete-event simulation of a network of nodes on a simulated clock.
 
 It carries the effects of nodes to other nodes, backend servers and callers,
-with delays, and lets a test kill, restart, pause, cut and duplicate. It holds
-no decisions: nodes, backend servers and callers are the same objects that run
+with delays. A test can kill, restart and pause nodes, cut links, and have
+datagrams lost or duplicated. The simulation makes no load-balancing
+decisions: nodes, backend servers and callers are the same objects that run
 behind real sockets.
 """
 
@@ -21,7 +22,7 @@
 from notchhoist.testing.platform_service import PlatformState
 from notchhoist.testing.world_host import Host, MakeNode
 
-PAUSE_S = 1.0
+STALE_BACKLOG_S = 1.0
 BACKEND_DELAY_S = 0.0001
 CALLER_TICK_S = 0.05
 PLATFORM_DELAY_S = 0.002
@@ -30,31 +31,37 @@
 
 @attrs.define
 class World:
-    """Everything in one run.
+    """State of one simulated run.
 
     Attributes:
-        rng: Source of every draw.
-        history: What callers and backend servers saw.
+        rng: Source of all randomness.
+        history: Events recorded by callers and backend servers.
         delay_s: One-way delay between processes, seconds.
-        loss: Share of datagrams between processes that are lost.
-        duplication: Share that arrive twice, the second one late.
-        late_s: Longest extra delay of a second copy, seconds.
-        now: The clock, seconds.
-        messages: Messages between processes so far.
-        by_type: The same by type of message.
-        adapt: Changes each node at its start, as for a naive version.
-        count_bytes: Encode each message to count its bytes.
-        bytes_by_type: Bytes of messages by type, where counted.
-        hosts: The hosts by peer endpoint.
-        entries: Balancers that the fabric sprays to.
-        backends: The backend server beside each agent.
-        callers: The callers by endpoint.
-        flow_names: Agent and caller of each endpoint at a backend server.
-        wakes: When each backend server has something to do.
-        cuts: Pairs of processes that cannot reach each other.
-        platform: The platform.
-        queue: What happens, by time.
-        numbers: Order of what happens at the same time.
+        loss: Fraction of messages between nodes that are lost.
+        duplication: Fraction of datagrams that are delivered twice, the
+            second time late.
+        max_late_s: Longest extra delay of a duplicate, seconds.
+        now: Simulated time, seconds.
+        messages: Number of messages sent between nodes so far.
+        by_type: Number of these messages by message type.
+        adapt: Modifies each node at its start, for example into a baseline
+            version.
+        count_bytes: Whether each message is encoded to count its bytes.
+        bytes_by_type: Encoded size of the messages by message type, if
+            ``count_bytes`` is set.
+        hosts: Hosts by peer endpoint.
+        entries: Balancers among which the fabric spreads datagrams.
+        backends: Backend server of each agent, by peer endpoint of the agent.
+        callers: Callers by endpoint.
+        flow_names: Agent and caller by the source endpoint that the backend
+            server sees.
+        backend_wake_times: Time of the next scheduled tick of each backend
+            server, by its object identity.
+        cuts: Pairs of nodes that cannot reach each other.
+        platform: Simulated platform that stores the configuration.
+        queue: Heap of scheduled events, ordered by time.
+        sequence_numbers: Source of the numbers that order events scheduled
+            for the same time.
     """
 
     rng: random.Random
@@ -62,7 +69,7 @@
     delay_s: float = 0.0015
     loss: float = 0.0
     duplication: float = 0.0
-    late_s: float = 2.0
+    max_late_s: float = 2.0
     now: float = 0.0
     messages: int = 0
     by_type: dict[str, int] = attrs.Factory(dict)
@@ -76,19 +83,19 @@
     flow_names: dict[model.Endpoint, tuple[model.Endpoint, model.Endpoint]] = (
         attrs.Factory(dict)
     )
-    wakes: dict[int, float] = attrs.Factory(dict)
+    backend_wake_times: dict[int, float] = attrs.Factory(dict)
     cuts: set[frozenset[model.Endpoint]] = attrs.Factory(set)
     platform: PlatformState = attrs.Factory(PlatformState)
     queue: list[tuple[float, int, Callable[[], None]]] = attrs.Factory(list)
-    numbers: "itertools.count[int]" = attrs.Factory(itertools.count)
+    sequence_numbers: "itertools.count[int]" = attrs.Factory(itertools.count)
 
     def at(self, delay: float, action: Callable[[], None]) -> None:
-        """Does something after a delay."""
-        entry = (self.now + delay, next(self.numbers), action)
+        """Schedules an action after a delay in seconds."""
+        entry = (self.now + delay, next(self.sequence_numbers), action)
         heapq.heappush(self.queue, entry)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the clock and runs the events that become due."""
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
             when, _, action = heapq.heappop(self.queue)
@@ -97,7 +104,10 @@
         self.now = until
 
     def run_until(self, done: Callable[[], bool], limit: float) -> bool:
-        """Lets time pass until something holds; False at the limit."""
+        """Runs until a condition holds; returns False at the time limit.
+
+        The condition is checked every 0.1 s.
+        """
         until = self.now + limit
         while self.now < until:
             if done():
@@ -106,7 +116,7 @@
         return done()
 
     def callers_done(self) -> bool:
-        """Tells whether every caller has ended its tasks."""
+        """Returns whether every caller has finished its tasks."""
         return all(caller.is_done() for caller in self.callers.values())
 
     def add_host(self, name: str, peer: model.Endpoint, make: MakeNode) -> Host:
@@ -117,7 +127,7 @@
         return host
 
     def start(self, peer: model.Endpoint) -> None:
-        """Starts, or starts anew, the node of a host."""
+        """Starts or restarts the node of a host."""
         host = self.hosts[peer]
         host.generation += 1
         host.node = host.make(self.now, self.rng.getrandbits(30))
@@ -125,29 +135,35 @@
             self.adapt(host.node)
         host.paused = False
         host.backlog.clear()
-        host.held.clear()
+        host.unsent_effects.clear()
         host.last_tick = self.now
         self._tick_later(host, host.generation)
 
     def kill(self, peer: model.Endpoint) -> None:
-        """Kills the node of a host; nothing of it is left."""
+        """Kills the node of a host; its state is lost."""
         self.hosts[peer].node = None
 
     def pause(self, peer: model.Endpoint, seconds: float) -> None:
-        """Stops a process for a while."""
+        """Pauses the node of a host for some seconds.
+
+        Incoming events are queued until it resumes. Unless
+        ``keeps_backlog`` is set, a node drops them if its last tick was
+        longer than ``STALE_BACKLOG_S`` ago, except for responses of the
+        platform.
+        """
         host = self.hosts[peer]
         host.paused = True
         generation = host.generation
-        self.at(seconds, lambda: self._wake(host, generation))
+        self.at(seconds, lambda: self._resume(host, generation))
 
-    def _wake(self, host: Host, generation: int) -> None:
+    def _resume(self, host: Host, generation: int) -> None:
         if host.generation != generation or not host.paused:
             return
         host.paused = False
         waited, host.backlog = host.backlog, []
-        held, host.held = host.held, []
+        held, host.unsent_effects = host.unsent_effects, []
         self._perform(host, held)
-        is_stale = self.now - host.last_tick > PAUSE_S
+        is_stale = self.now - host.last_tick > STALE_BACKLOG_S
         if is_stale and not host.keeps_backlog:
             waited = [
                 event
@@ -161,12 +177,12 @@
     def cut(
         self, one: Sequence[model.Endpoint], other: Sequence[model.Endpoint]
     ) -> None:
-        """Cuts all links between two groups of processes."""
+        """Cuts all links between two groups of nodes."""
         for left, right in itertools.product(one, other):
             self.cuts.add(frozenset([left, right]))
 
     def heal(self) -> None:
-        """Mends all cuts."""
+        """Restores all links."""
         self.cuts.clear()
 
     def _tick_later(self, host: Host, generation: int) -> None:
@@ -195,26 +211,26 @@
     def _perform(self, host: Host, effects: list[model.Effect]) -> None:
         for effect in effects:
             if host.paused:
-                host.held.append(effect)
+                host.unsent_effects.append(effect)
             else:
                 self._perform_one(host, effect)
 
     def _perform_one(self, host: Host, effect: model.Effect) -> None:
         match effect:
             case model.SendPeer():
-                self._carry(host, effect)
+                self._send_peer(host, effect)
             case model.SendCaller():
-                self._to_caller(effect)
+                self._send_caller(effect)
             case model.SendBackend():
-                self._to_backend(host, effect)
+                self._send_backend(host, effect)
             case model.ReadConfiguration():
-                self._read(host, effect, host.generation)
+                self._read_configuration(host, effect, host.generation)
             case model.ReadHosts():
                 self._read_hosts(host)
             case model.CloseFlowSocket():
                 pass
 
-    def _carry(self, host: Host, effect: model.SendPeer) -> None:
+    def _send_peer(self, host: Host, effect: model.SendPeer) -> None:
         self.messages += 1
         name = type(effect.message).__name__
         self.by_type[name] = self.by_type.get(name, 0) + 1
@@ -227,7 +243,7 @@
         event = model.PeerMessage(host.peer, effect.message)
         self._schedule_delivery(host.peer, effect.to, event, 0.0)
         if self.rng.random() < self.duplication:
-            late = self.rng.uniform(0.0, self.late_s)
+            late = self.rng.uniform(0.0, self.max_late_s)
             self._schedule_delivery(host.peer, effect.to, event, late)
 
     def _schedule_delivery(
@@ -246,7 +262,7 @@
         delay = self.delay_s * self.rng.uniform(0.5, 1.5) + late
         self.at(delay, arrive)
 
-    def _to_caller(self, effect: model.SendCaller) -> None:
+    def _send_caller(self, effect: model.SendCaller) -> None:
         def arrive() -> None:
             caller = self.callers.get(effect.caller)
             if caller is not None:
@@ -258,17 +274,17 @@
     def spray(
         self, service: str, caller: model.Endpoint, datagrams: list[bytes]
     ) -> None:
-        """Carries a caller's datagrams to balancers drawn at random."""
+        """Sends each datagram of a caller to a randomly chosen balancer."""
         for datagram in datagrams:
             event = model.CallerDatagram(service, caller, datagram)
             entry = self.rng.choice(self.entries)
             self._schedule_delivery(caller, entry, event, 0.0)
             if self.rng.random() < self.duplication:
-                late = self.rng.uniform(0.0, self.late_s)
+                late = self.rng.uniform(0.0, self.max_late_s)
                 entry = self.rng.choice(self.entries)
                 self._schedule_delivery(caller, entry, event, late)
 
-    def _to_backend(self, host: Host, effect: model.SendBackend) -> None:
+    def _send_backend(self, host: Host, effect: model.SendBackend) -> None:
         if self.now > effect.not_after:
             return
         backend = self.backends.get(host.peer)
@@ -281,29 +297,29 @@
             current = self.backends.get(host.peer)
             if current is backend:
                 replies = backend.receive(effect.datagram, source, self.now)
-                self._from_backend(host, replies)
+                self._schedule_replies(host, replies)
                 self._wake_backend(host, backend)
 
         self.at(BACKEND_DELAY_S, arrive)
 
     def _wake_backend(self, host: Host, backend: BackendModel) -> None:
         due = backend.next_due()
-        planned = self.wakes.get(id(backend))
+        planned = self.backend_wake_times.get(id(backend))
         if due is None or (planned is not None and planned <= due):
             return
-        self.wakes[id(backend)] = due
+        self.backend_wake_times[id(backend)] = due
 
         def finish() -> None:
-            if self.wakes.get(id(backend)) != due:
+            if self.backend_wake_times.get(id(backend)) != due:
                 return
-            del self.wakes[id(backend)]
+            del self.backend_wake_times[id(backend)]
             if self.backends.get(host.peer) is backend:
-                self._from_backend(host, backend.tick(self.now))
+                self._schedule_replies(host, backend.tick(self.now))
                 self._wake_backend(host, backend)
 
         self.at(max(0.0, due - self.now), finish)
 
-    def _from_backend(self, host: Host, replies: list[Reply]) -> None:
+    def _schedule_replies(self, host: Host, replies: list[Reply]) -> None:
         for reply in replies:
             _, caller = self.flow_names[reply.to]
             event = model.BackendDatagram(caller, reply.datagram)
@@ -312,7 +328,7 @@
     def _delivery(self, host: Host, event: model.Event) -> Callable[[], None]:
         return lambda: self._deliver(host, event)
 
-    def _read(
+    def _read_configuration(
         self, host: Host, effect: model.ReadConfiguration, generation: int
     ) -> None:
         self.platform.reads += 1
@@ -341,7 +357,11 @@
         self.at(PLATFORM_DELAY_S, lambda: self._deliver(host, event))
 
     def publish(self, configuration: model.Configuration) -> None:
-        """Publishes a document as the operator would."""
+        """Publishes a configuration document as an operator does.
+
+        Raises:
+            PlatformError: The platform does not accept the document.
+        """
         text = documents.write_configuration(configuration)
         if not self.platform.publish(text):
             raise model.PlatformError("publish", "not the next revision")
@@ -349,7 +369,7 @@
     def add_backend(
         self, agent: model.Endpoint, profile: BackendProfile
     ) -> BackendModel:
-        """Starts, or starts anew, the backend server beside an agent."""
+        """Starts or restarts the backend server of an agent."""
         backend = BackendModel(profile, self.now, self.history)
         self.backends[agent] = backend
         return backend
@@ -357,7 +377,7 @@
     def add_caller(
         self, endpoint: model.Endpoint, tasks: Sequence[Task]
     ) -> CallerModel:
-        """Adds a caller that begins at once."""
+        """Adds a caller whose first tick is within ``CALLER_TICK_S``."""
         caller = make_caller(tasks, self.history, self.rng.getrandbits(30))
         self.callers[endpoint] = caller
         service = tasks[0].service
@@ -371,5 +391,5 @@
         return caller
 
     def agents_of(self, service: model.Service) -> list[model.Endpoint]:
-        """Returns a service's agents in rendezvous order of its name."""
+        """Returns the agents of a service in rendezvous order of its name."""
         return parts.rank_nodes(service.name.encode(), service.agents())
--- a/notchhoist/testing/world_host.py
+++ b/notchhoist/testing/world_host.py
@@ -1,4 +1,4 @@
-"""A host of the fake network and the node that it runs."""
+"""A host of the simulated network and the node that it runs."""
 
 from collections.abc import Callable
 
@@ -11,20 +11,22 @@
 
 @attrs.define
 class Host:
-    """A host that runs a node.
+    """A simulated host that runs one node.
 
     Attributes:
         name: Name of the host.
         peer: Peer endpoint of its node.
-        make: Makes its node at a start.
-        node: The node, or None while it is dead.
-        generation: Counts its starts.
-        paused: It is stopped and its sockets fill up.
-        backlog: What came meanwhile.
-        last_tick: Time of its last tick, seconds.
-        held: Effects that a pause came before.
-        keeps_backlog: It reads after a pause what came before it, as a
-            process would that does not look at its clock.
+        make: Creates the node at each start, from the time and a seed.
+        node: The running node, or None after it was killed.
+        generation: Number of starts; timers and configuration reads of earlier
+            starts are ignored.
+        paused: Whether the node is paused; its incoming events are queued.
+        backlog: Events received during a pause.
+        last_tick: Time of the last tick, seconds.
+        unsent_effects: Effects not performed before a pause began; they are
+            performed when the node resumes.
+        keeps_backlog: Whether the node handles its whole backlog after any
+            pause, as does a process that does not check the clock.
     """
 
     name: str
@@ -34,6 +36,6 @@
     generation: int = 0
     paused: bool = False
     backlog: list[model.Event] = attrs.Factory(list)
-    held: list[model.Effect] = attrs.Factory(list)
+    unsent_effects: list[model.Effect] = attrs.Factory(list)
     last_tick: float = 0.0
     keeps_backlog: bool = False
