--- a/notchhoist/testing/chaos.py
+++ b/notchhoist/testing/chaos.py
@@ -224,8 +224,8 @@
 
     def inject_faults(self) -> None:
         """Injects one or two faults and schedules the next ones."""
-        faults = self.faulty_things()
-        for fault in self.rng.sample(faults, self.rng.choice((1, 1, 2))):
+        candidates = self.faulty_things()
+        for fault in self.rng.sample(candidates, self.rng.choice((1, 1, 2))):
             self.faults.append(fault.__name__)
             fault()
         if self.world.now < FAULT_PERIOD_S:
--- a/notchhoist/testing/retry_budget.py
+++ b/notchhoist/testing/retry_budget.py
@@ -1,7 +1,8 @@
 """Retry budget that limits retries to a fraction of successes.
 
-The algorithm and the values of the floor rate, of the burst and of the bucket,
-which is full at the start, are from "Deep dive: the retry budget (NResilience)".
+The algorithm and the values of the floor rate, of the burst and of the
+bucket, which is full at the start, are from "Deep dive: the retry budget
+(NResilience)".
 """
 
 import math
