--- a/benchmarks/ablate.py
+++ b/benchmarks/ablate.py
@@ -1,4 +1,4 @@
-"""What each mechanism is worth: days played with one after the other off.
+"""Measures the worth of each mechanism: plays days with one disabled each.
 
     python benchmarks/ablate.py CHECKOUT PLAY SITE:DAY[,DAY]... [--seeds 1,2]
         [--off NAME,NAME] [--jobs 6] [--out FILE]
@@ -6,8 +6,8 @@
 ``CHECKOUT`` is a copy of the repository whose deploy file is rewritten for each
 mechanism (``notchhoist.flows.model.mechanisms``); ``PLAY`` is the users'
 program that plays days. Prints, for each site, the mean worth of a day with
-everything in use, its spread over seeds, and what each mechanism adds to it. A
-figure within the spread is none.
+every mechanism enabled, its standard error over seeds, and the change when each
+mechanism is disabled. A change within the error is not significant.
 """
 
 import argparse
@@ -37,7 +37,7 @@
 
 
 def put_off(deploy, text, name):
-    """Writes the deploy file with a mechanism out of use, or with none."""
+    """Writes the deploy file with a mechanism disabled, or with none."""
     line = f'\\1\nenv = {{ NOTCHHOIST_OFF = "{name}" }}' if name else "\\1"
     deploy.write_text(SERVES.sub(line, text))
 
@@ -60,7 +60,7 @@
 
 
 def play_all(options, name):
-    """Returns the worths by site and day, and the rules that were broken."""
+    """Returns the worths by site and day, and the broken rules."""
     jobs = [
         (site, day, seed)
         for site, _, days in (item.rpartition(":") for item in options.days)
@@ -86,7 +86,7 @@
 
 
 def spread(worths):
-    """Returns how far the mean of a site's days is off by chance."""
+    """Returns the standard error of the mean worth of each site's days."""
     found = {}
     for (site, _), values in worths.items():
         deviation = statistics.pstdev(values) / len(values) ** 0.5
--- a/benchmarks/bench_balance.py
+++ b/benchmarks/bench_balance.py
@@ -1,10 +1,10 @@
-"""Imbalance and goodput on a rehearsal night, beside two blind policies.
+"""Imbalance and goodput under load, compared with two load-blind policies.
 
     python benchmarks/bench_balance.py [SECONDS]
 
-One server starts cold and one sheds every fifth request. Reports of load are
-250 ms old at worst; the blind policies place each request at random or in
-turn, with the same queues, limits and refusals.
+One server starts cold and one sheds every fifth request. Load reports are at
+most 250 ms old. The load-blind policies place each request at random or in
+round-robin order, with the same queues, limits and refusals.
 """
 
 import sys
@@ -28,7 +28,7 @@
 
 
 def row(plan, load, name, adapt, seconds):
-    """Prints the figures of one night."""
+    """Prints the figures of one load test."""
     night = rehearsal.run_night(plan, load, seconds, SEED, adapt)
     kinds = "; ".join(
         f"{kind} {night.answered[kind]} answered, "
@@ -45,7 +45,7 @@
 
 
 def main():
-    """Prints every night."""
+    """Runs every load test."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SECONDS
     for plan in PLANS:
         print(f"{plan.name}: {sum(plan.slots)} slots")
--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -1,9 +1,10 @@
-"""Processor time, memory and bytes of one daemon, and their slopes.
+"""Processor time, memory and traffic of one daemon, extrapolated by size.
 
     python benchmarks/bench_capacity.py
 
-Sans-I/O nodes with the codec at their boundary; the sizes are those that grow
-towards the target: flows of an agent, agents and hints of a balancer.
+Runs sans-I/O nodes and the codec without sockets. The sizes that vary are the
+flows of an agent, and the agents and hints of a balancer; a line fitted through
+them is extrapolated to the target.
 """
 
 import random
@@ -32,7 +33,7 @@
 
 
 def through_codec(effects):
-    """Encodes what is sent; returns its bytes and messages."""
+    """Encodes the messages that are sent; returns their bytes and number."""
     sent = [e for e in effects if isinstance(e, model.SendPeer)]
     size = 0
     for effect in sent:
@@ -42,7 +43,7 @@
 
 
 def make_agent():
-    """Returns an agent with nine peers and its service in force."""
+    """Returns an agent with nine peers and a configuration in force."""
     plan = attrs.evolve(deployment.HALLBOOK, slots=(4,) * PEERS)
     service = deployment.service_of(plan, 0, 67.0)
     hosts = tuple(
@@ -59,7 +60,7 @@
 
 
 def reports(service):
-    """Returns an encoded load report of each peer."""
+    """Returns an encoded load report from each peer."""
     found = []
     for server in service.servers[1:]:
         report = model.LoadReport(
@@ -70,7 +71,7 @@
 
 
 def agent_control(flows):
-    """Returns the processor share and bytes a second of an agent."""
+    """Returns the processor share, bytes/s and messages/s of an agent."""
     node, service = make_agent()
     peers = reports(service)
     for number in range(flows):
@@ -93,7 +94,7 @@
 
 
 def agent_memory(flows):
-    """Returns the bytes of an agent's board with so many flows."""
+    """Returns the memory of an agent's state with some flows, in bytes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     node, _ = make_agent()
@@ -110,10 +111,10 @@
 
 
 def balancer_control(agents):
-    """Returns the processor share and bytes a second of a balancer.
+    """Returns the processor share and bytes/s of a balancer.
 
-    Of all agents each pings three of 580 balancers a second, and every daemon
-    asks one balancer each 1.5 s.
+    Each agent pings three of 580 balancers a second, and each of 4,880 daemons
+    queries one balancer for the configuration every 1.5 s.
     """
     fleet = make_fleet(20, 3)
     world = fleet.world
@@ -151,7 +152,7 @@
 
 
 def hint_memory(hints):
-    """Returns the bytes of a balancer's hints."""
+    """Returns the memory of a balancer's hints in bytes."""
     host = deployment.balancer_host(0, ("z",))
     node = deployment.balancer_maker(host)(0.0, 1)
     owner = model.Endpoint("10.1.1.1", 7000)
@@ -167,7 +168,7 @@
 
 
 def data_path():
-    """Returns the processor time of a request at agent and balancer."""
+    """Returns the processor time of a request at the agent, seconds."""
     node, service = make_agent()
     caller = model.Endpoint("10.0.0.1", 9)
     balancer = model.Endpoint("10.0.0.1", 7000)
@@ -197,7 +198,7 @@
 
 
 def line(name, sizes, values, target, unit):
-    """Prints a slope and what it implies."""
+    """Prints a linear fit and its value at the target."""
     slope, base = statistics.linear_regression(sizes, values)
     shown = ", ".join(
         f"{size}: {value:.4g}"
@@ -211,7 +212,7 @@
 
 
 def main():
-    """Prints every slope."""
+    """Prints every fit."""
     print("agent, by flows (all of them pinned streams)")
     rows = [agent_control(flows) for flows in FLOWS]
     shares = [row[0] * 100 for row in rows]
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -1,9 +1,9 @@
-"""Configuration: time to all, platform reads, bytes per daemon, and slopes.
+"""Configuration: propagation time, platform reads and bytes per daemon.
 
     python benchmarks/bench_config.py [SIZES ...]
 
-Sans-I/O nodes in the fake network at 10, 100 and 500; a line is fitted through
-the sizes and read off at the target of 4,880 nodes.
+Runs 10, 100 and 500 sans-I/O nodes in the simulated network. A line fitted
+through these sizes is extrapolated to the target of 4,880 nodes.
 """
 
 import collections
@@ -23,14 +23,14 @@
 
 
 def per_daemon(fleet, before, seconds):
-    """Returns bytes a second sent, averaged over all daemons."""
+    """Returns the bytes sent per second, averaged over all daemons."""
     sent = collections.Counter(fleet.world.bytes_by_type)
     sent.subtract(before)
     return sum(sent.values()) / seconds / len(fleet.world.hosts)
 
 
 def measure(size):
-    """Prints and returns the figures of one size."""
+    """Prints and returns the figures of one network size."""
     fleet = make_fleet(size, seed=3)
     world = fleet.world
     at_start = fleet.everywhere_after(LIMIT_S)
@@ -67,7 +67,7 @@
 
 
 def main():
-    """Prints every size and what the slopes imply."""
+    """Prints the figures of every size and their extrapolation."""
     sizes = [int(text) for text in sys.argv[1:]] or DEFAULT_SIZES
     rows = [measure(size) for size in sizes]
     if len(rows) < 2:
--- a/benchmarks/bench_flow_capacity.py
+++ b/benchmarks/bench_flow_capacity.py
@@ -1,10 +1,11 @@
-"""Slopes of the opaque-flow path, for docs/CAPACITY.md.
+"""Cost of opaque flows by size, for docs/CAPACITY.md.
 
     python benchmarks/bench_flow_capacity.py
 
-A balancer alone, without sockets: its control bytes and processor time by the
-number of backend servers, its memory by the number of flows; an agent's time a
-packet. Clocks are simulated; only processor time and memory are measured.
+Runs one balancer without sockets and prints its control traffic and processor
+time by the number of backend servers, its memory per flow, and the processor
+time of an agent per packet. Clocks are simulated; only processor time and
+memory are measured.
 """
 
 import resource
@@ -67,7 +68,7 @@
 
 
 def answer(node, effects, now):
-    """Lets every agent answer at once; returns control bytes both ways."""
+    """Answers for every agent at once; returns control bytes both ways."""
     sent = 0
     for effect in effects:
         if isinstance(effect, SendPeer):
--- a/benchmarks/bench_flows.py
+++ b/benchmarks/bench_flows.py
@@ -1,4 +1,4 @@
-"""Broken flows by planned change, ours beside two naive versions.
+"""Broken flows by planned change, compared with two baselines.
 
 python benchmarks/bench_flows.py [SEEDS]
 """
@@ -29,7 +29,7 @@
 
 
 def many_at_once(seeds):
-    """Prints how many seeds of random overlapping changes break a flow."""
+    """Prints for how many seeds random overlapping changes break a flow."""
     for version, adapt in VERSIONS.items():
         broken = collections.Counter()
         bad = 0
--- a/benchmarks/bench_logging.py
+++ b/benchmarks/bench_logging.py
@@ -1,10 +1,11 @@
-"""What a log line costs.
+"""Cost of a log line.
 
     python benchmarks/bench_logging.py
 
-Processor time and bytes of a line as the daemons write it, beside what a
-balancer takes to place a flow without writing, and what the budget of lines a
-second comes to. Written to a file, so that the kernel's part is in it.
+Prints the processor time and bytes of a line as the daemons write it, compared
+with the time a balancer takes to place a flow without logging, and the cost of
+the permitted number of lines per second. Lines are written to a file, so that
+the time in the kernel is included.
 """
 
 import os
@@ -22,7 +23,7 @@
 
 
 def write_lines(fd):
-    """Returns the processor time and the bytes of a line."""
+    """Returns the processor time and the size of a line."""
     now = [0.0]
 
     def clock():
@@ -50,7 +51,7 @@
 
 
 def place_flows():
-    """Returns the processor time of placing a flow, its decision kept."""
+    """Returns the processor time to place a flow and record the decision."""
     node = make_balancer("a", crafting.CODEC, "seed")
     node.fleet.on_table(crafting.table(), 1)
     entries = [(crafting.entry(n), 1) for n in range(1, 8)]
--- a/benchmarks/bench_memory.py
+++ b/benchmarks/bench_memory.py
@@ -44,7 +44,7 @@
 
 
 def main():
-    """Runs two balancers and three agents for a while."""
+    """Runs two balancers and three agents and prints what each uses."""
     with tempfile.TemporaryDirectory() as folder:
         plan = main_job.small(HALLBOOK, 3)
         deployment = launcher.Deployment(Path(folder), 4, (plan,), balancers=2)
--- a/benchmarks/bench_once.py
+++ b/benchmarks/bench_once.py
@@ -1,9 +1,9 @@
-"""At most once: how many seeded fault storms break each version, and the cost.
+"""Violations of at-most-once execution under faults, and the cost of claims.
 
     python benchmarks/bench_once.py [SEEDS]
 
-The naive version has no witnesses; "one witness" asks only the first. The
-storm brings a fault every 0.8 s, the bad day one every 6 s.
+The baseline "naive" has no witnesses; "one witness" asks only the first. The
+storm injects a fault every 0.8 s, the bad day one every 6 s.
 """
 
 import collections
@@ -27,7 +27,7 @@
 
 
 def storm(name, adapt, gap_s, seeds):
-    """Prints how one version does under faults."""
+    """Prints the violations and results of one version under faults."""
     broken = 0
     results = collections.Counter()
     for seed in range(seeds):
@@ -43,7 +43,7 @@
 
 
 def steady(name, adapt, dead):
-    """Prints the cost of one version, with one host dead if asked."""
+    """Prints the cost of one version, optionally with one host killed."""
     world = World(random.Random(7), count_bytes=True, adapt=adapt)
     configuration = build_world(
         world, (chaos.PLAN,), memory_s=chaos.MEMORY_S, service_s=0.01
@@ -75,7 +75,7 @@
 
 
 def main():
-    """Runs every part."""
+    """Runs every version under faults, then measures its cost."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
     for title, gap_s in (
         ("storm", chaos.STORM_GAP_S),
--- a/benchmarks/bench_recovery.py
+++ b/benchmarks/bench_recovery.py
@@ -1,10 +1,10 @@
-"""Recovery: processes replaced one after another and all at once.
+"""Recovery after hosts are replaced one after another and all at once.
 
     python benchmarks/bench_recovery.py
 
-Bookings go on all the time; for each case the time until nothing is refused
-any more and what was refused meanwhile. The memory of once-only requests is
-67 s; the agents' memory lives only in the agents.
+Bookings arrive all the time. Prints for each case the time of the last refusal
+and the results. Agents remember non-repeatable requests for 67 s, and only in
+their own memory, so a replaced agent starts without these records.
 """
 
 import collections
@@ -26,7 +26,7 @@
 
 
 def make_world(seed):
-    """Returns a deployment that has run for a while."""
+    """Returns a world with a running deployment, and its service."""
     world = World(random.Random(seed))
     configuration = build_world(
         world, (chaos.PLAN,), memory_s=chaos.MEMORY_S, service_s=0.05
@@ -37,14 +37,14 @@
 
 
 def replace(world, peers, gap_s):
-    """Replaces hosts, empty-handed, one every so often."""
+    """Replaces hosts at regular intervals; each restarts without state."""
     for place, peer in enumerate(peers):
         world.at(place * gap_s, lambda peer=peer: world.kill(peer))
         world.at(place * gap_s + AWAY_S, lambda peer=peer: world.start(peer))
 
 
 def book(world, seconds):
-    """Adds a booking every so often."""
+    """Schedules a booking every ``GAP_S`` and returns their number."""
     count = int(seconds / GAP_S)
     for number in range(count):
         task = Task("booking", "POST", chaos.PLAN.name, f"b{number:04}")
@@ -91,7 +91,7 @@
 
 
 def wholeness(site, agent, pinned):
-    """Returns which kinds of knowledge a restarted agent has again."""
+    """Returns which kinds of state a restarted agent has recovered."""
     node = site.world.hosts[agent].node
     if not isinstance(node, controllers.AgentNode):
         return set()
@@ -115,7 +115,7 @@
 
 
 def whole_row(name, count, at_once):
-    """Prints how long restarted agents take until they know all again."""
+    """Prints how long restarted agents take to recover each kind of state."""
     site = changes.make_site(5)
     agents = site.service.agents()[:count]
     pinned = {}
@@ -146,7 +146,7 @@
 
 
 def main():
-    """Prints every case."""
+    """Runs every case."""
     whole_row("one agent of seven", 1, False)
     whole_row("seven agents one after another", 7, False)
     whole_row("two agents at once", 2, True)
--- a/benchmarks/bench_retries.py
+++ b/benchmarks/bench_retries.py
@@ -1,12 +1,13 @@
-"""A dependency eight times slower for a minute, with and without the budget.
+"""Retry amplification while backend servers are slow, by retry budget.
 
     python benchmarks/bench_retries.py [SECONDS]
 
-The experiment of "Deep dive: the retry budget (NResilience)" in our own model:
-all backend servers of a service turn eight times slower; idempotent requests
-arrive at a part of the usual capacity. Amplification is starts per arrival, in
-the worst second and over the whole run; the budget is kept only if it pays.
-The old rule gave up every try after a third of the deadline.
+Repeats the experiment of "Deep dive: the retry budget (NResilience)" in the
+simulated network: all backend servers of a service are eight times slower for
+a minute, while idempotent requests arrive at a fraction of the usual capacity.
+Amplification is starts per arrival, in the worst second and over the whole run.
+The budget is kept only if its benefit outweighs its cost.
+The old rule ended every execution after a third of the deadline.
 """
 
 import collections
@@ -51,7 +52,7 @@
 
 
 def run(seed, adapt, load, slow_s):
-    """Returns the world after the experiment and when it was slow."""
+    """Runs the experiment; returns the world and when it became slow."""
     world = World(random.Random(seed), adapt=adapt)
     deployment.build_world(world, (ROSTER,), service_s=SERVICE_S)
     chaos.trust_first_start(world)
@@ -90,7 +91,7 @@
 
 
 def main():
-    """Prints both versions."""
+    """Prints the figures of every version at every load."""
     slow_s = float(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SECONDS
     for load in LOADS:
         print(f"eight times slower for {slow_s:.0f} s at {load} of capacity")
--- a/benchmarks/bench_start.py
+++ b/benchmarks/bench_start.py
@@ -1,10 +1,11 @@
-"""What a start costs each role on the platform's hosts.
+"""Start-up cost of each role on the platform's hosts.
 
     python benchmarks/bench_start.py
 
-For each role, as a whole process: processor seconds and resident memory of the
-interpreter alone, of loading what the role needs, and until its sockets are
-bound; medians of several runs, and ratios to the interpreter alone.
+Prints processor seconds and resident memory of whole processes: the interpreter
+alone, and for each role until its modules are loaded and until its sockets are
+bound. Figures are medians of several runs, with the ratio of processor time to
+the interpreter alone.
 """
 
 import json
--- a/benchmarks/make_days.py
+++ b/benchmarks/make_days.py
@@ -1,8 +1,9 @@
-"""Writes days of trouble: each kind and variant, twice, beside another one.
+"""Writes day files with faults: each variant occurs twice, next to another.
 
-Every day has planned work all through it, so that each trouble meets backend
-servers and balancers that come and go. The partner of a trouble, the moments
-and the sizes are drawn from a fixed seed; the files in ``days`` were written by
+Every day has planned work throughout, so that faults occur while backend
+servers and balancers are added and removed. The second fault of a day, the
+times and the planned work are drawn from a fixed seed. The files in ``days``
+are written by
 
     python benchmarks/make_days.py benchmarks/days
 """
@@ -13,7 +14,7 @@
 
 SEED = 20261202
 LENGTH_S = 32.0
-"""Traffic of a standard day, seconds."""
+"""Duration of the traffic of a standard day, seconds."""
 
 # ruff: noqa: E501
 
@@ -115,7 +116,7 @@
 def day_text(
     number: int, first: str, second: str, closing: str, rng: random.Random
 ) -> str:
-    """Returns a day on which two troubles come twice each, and overlap."""
+    """Returns the text of a day on which two faults occur twice each."""
     moment = rng.uniform(2.0, 5.0)
     gap = rng.uniform(0.1, 3.0)
     again = rng.uniform(14.0, 18.0)
@@ -163,7 +164,7 @@
 
 
 def main() -> int:
-    """Writes the files into the folder that is named."""
+    """Writes the files into the folder given on the command line."""
     folder = pathlib.Path(sys.argv[1])
     for name, text in make_days().items():
         (folder / name).write_text(text)
--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that may fail: those that KNOWN-RED.txt lists, and no others."""
+"""Marks the tests that KNOWN-RED.txt lists, and no others, as xfail."""
 
 from pathlib import Path
 
@@ -8,14 +8,14 @@
 
 
 def known_red() -> dict[str, str]:
-    """Returns the listed tests by id, each with its whole line."""
+    """Returns the line of each listed test by test id."""
     lines = KNOWN_RED.read_text().splitlines()
     tests = [line for line in lines if "::" in line.split(": ")[0]]
     return {line.split(": ")[0]: line for line in tests}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Lets listed tests fail; one that passes must leave the list."""
+    """Marks listed tests as strict xfail: one that passes fails the run."""
     listed = known_red()
     for item in items:
         line = listed.get(item.nodeid)
--- a/notchhoist/__init__.py
+++ b/notchhoist/__init__.py
@@ -1,16 +1,16 @@
-"""notchhoist: a layer-4 load balancer that answers for outcomes.
+"""notchhoist: a layer-4 load balancer that tracks request outcomes.
 
 The package is layered; each subpackage imports only those above it:
 
 * ``model``: values, messages and typed errors.
-* ``parts``: coordination parts for others to embed; no I/O.
-* ``blackboards``: what each role knows.
-* ``controllers``: decisions; they read and write a blackboard.
+* ``parts``: embeddable building blocks for coordination; no I/O.
+* ``blackboards``: shared state of each role's node.
+* ``controllers``: decision logic; reads and writes a blackboard.
 * ``wire``: codecs (CoAP, Thrift).
-* ``platform``: the platform's configuration service, read only.
+* ``platform``: read-only client of the platform's configuration service.
 * ``daemon``: sockets, tasks, settings, logs; the ``notchhoistd`` process.
 * ``cli``: the ``notchhoist`` command-line tool.
-* ``testing``: stand-ins for the outside systems, history checking.
+* ``testing``: stand-ins for external systems, checks of histories.
 """
 
 __version__ = "0.1.0"
--- a/notchhoist/testing/__init__.py
+++ b/notchhoist/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, fakes, and history checking."""
+"""Stand-ins for external systems, fakes, and checks of histories."""
--- a/notchhoist/testing/baselines.py
+++ b/notchhoist/testing/baselines.py
@@ -1,4 +1,7 @@
-"""Naive versions that the decisions are held against."""
+"""Baselines: simpler versions that the decisions are compared with.
+
+Each function here changes a node at its start so that it uses a baseline.
+"""
 
 from collections.abc import Callable
 
@@ -17,17 +20,17 @@
 
 @attrs.define
 class NoMemory(ClaimCoordinator):
-    """Wins every claim at once: nothing but retransmissions is recognized."""
+    """Grants every claim at once: only retransmissions are recognized."""
 
     def start(self, run: Run, purpose: model.Purpose, now: float) -> None:
-        """Settles a claim without asking anybody."""
+        """Settles a claim as won without asking a witness."""
         state = ClaimState(run, 0, purpose, parts.Claim(()), now, now)
         self.on_settled(state, True, now)
 
 
 @attrs.define
 class HomeAlone(ClaimCoordinator):
-    """Asks only the first witness: simple, and it fails by refusing."""
+    """Asks only the first witness; refuses requests while it is unreachable."""
 
     def witness_sets(
         self, identity: bytes
@@ -38,7 +41,7 @@
 
 
 def use_claims(node: controllers.Node, kind: type[ClaimCoordinator]) -> None:
-    """Gives an agent another way to claim."""
+    """Replaces the claim coordinator of an agent."""
     if not isinstance(node, controllers.AgentNode):
         return
     claims = kind(node.board, node.claims.rng)
@@ -48,27 +51,27 @@
 
 
 def without_memory(node: controllers.Node) -> None:
-    """The naive version: no witnesses."""
+    """Baseline without witnesses."""
     use_claims(node, NoMemory)
 
 
 def home_alone(node: controllers.Node) -> None:
-    """The simpler version: one witness, the home of the identity."""
+    """Baseline with one witness, the first one of the identity."""
     use_claims(node, HomeAlone)
 
 
 @attrs.define
 class PlainRendezvous(FlowForwarder):
-    """Sends every datagram to the first agent of the present set."""
+    """Sends every datagram to the first agent by rendezvous hashing."""
 
     def forward(self, event: model.CallerDatagram) -> model.Forward:
-        """Tells the agent to take the flow, whoever has it."""
+        """Makes the agent take the flow, even if another agent owns it."""
         return attrs.evolve(super().forward(event), placed=True)
 
     def route(
         self, service: model.Service, caller: model.Endpoint
     ) -> model.Endpoint:
-        """Ranks the present set and looks no further."""
+        """Returns the first of the current agents in rendezvous order."""
         key = parts.flow_hash_key(caller)
         return parts.rank_nodes(key, service.agents())[0]
 
@@ -80,7 +83,7 @@
     def route(
         self, service: model.Service, caller: model.Endpoint
     ) -> model.Endpoint:
-        """Looks the flow up in the table of the present set."""
+        """Returns the agent at the flow's hash in the current set."""
         agents = service.agents()
         digest = xxhash.xxh3_64_intdigest(parts.flow_hash_key(caller))
         return agents[digest % len(agents)]
@@ -88,19 +91,19 @@
 
 @attrs.define
 class StayingMover(FlowMover):
-    """Moves no flow: without a directory nobody would find it."""
+    """Moves no flow: without a directory, no balancer would find it."""
 
     def move_stream(self, run: Run, now: float) -> bool:
-        """Lets the stream stay or be refused."""
+        """Leaves the stream where it is, also if it is refused there."""
         return False
 
     def move_upload(self, run: Run, now: float) -> bool:
-        """Lets the upload stay."""
+        """Leaves the upload where it is."""
         return False
 
 
 def use_forwarder(node: controllers.Node, kind: type[FlowForwarder]) -> None:
-    """Gives a balancer another way to route, and lets agents move nothing."""
+    """Replaces the forwarder of a balancer, and the flow mover of an agent."""
     if isinstance(node, controllers.BalancerNode):
         node.forwarder = kind(node.board, node.forwarder.rng)
     elif isinstance(node, controllers.AgentNode):
@@ -108,18 +111,18 @@
 
 
 def plain_rendezvous(node: controllers.Node) -> None:
-    """The naive version: rendezvous hashing without a directory."""
+    """Baseline that uses rendezvous hashing without a directory."""
     use_forwarder(node, PlainRendezvous)
 
 
 def modulo_table(node: controllers.Node) -> None:
-    """The naive version: a table by hash modulo the host count."""
+    """Baseline that uses the hash modulo the number of agents."""
     use_forwarder(node, ModuloTable)
 
 
 @attrs.define
 class BlindPlacement(RunDispatcher):
-    """Places each request at an agent chosen without a look at loads."""
+    """Places each request at a random agent, regardless of load."""
 
     turn: int = 0
     give: Callable[[Run, model.Endpoint, float], None] = attrs.field(init=False)
@@ -139,21 +142,21 @@
             self.give(run, chosen, now)
 
     def placeable(self, now: float) -> list[model.Endpoint]:
-        """Returns the agents that are alive and not leaving."""
+        """Returns the agents that are alive and not draining."""
         candidates = self.loads.flow_candidates(now)
         return sorted(candidate.agent for candidate in candidates)
 
     def choose(self, agents: list[model.Endpoint]) -> model.Endpoint:
-        """Chooses at random."""
+        """Chooses an agent at random."""
         return self.claims.rng.choice(agents)
 
 
 @attrs.define
 class BudgetedRuns(RunDispatcher):
-    """Retries within a budget that successes fund.
+    """Retries only within a budget that successes replenish.
 
     Attributes:
-        budget: The budget of this agent.
+        budget: Retry budget of this agent.
     """
 
     budget: RetryBudget = attrs.Factory(RetryBudget)
@@ -165,13 +168,13 @@
         response: wire.CoapMessage | None,
         now: float,
     ) -> None:
-        """Lets a success fund the budget."""
+        """Adds to the budget for each success."""
         if response is not None:
             self.budget.deposit(now)
         super().finish(run, status, response, now)
 
     def retry(self, run: Run, now: float) -> None:
-        """Retries if the budget allows, else gives the request up."""
+        """Retries within the budget, else ends the request as timed out."""
         if self.budget.try_spend(now):
             super().retry(run, now)
             return
@@ -182,20 +185,20 @@
 
 @attrs.define
 class ImpatientRuns(BudgetedRuns):
-    """Gives every try up after a third of the deadline."""
+    """Ends every execution after a third of the time to the deadline."""
 
     def is_faster_elsewhere(self, run: Run, now: float) -> bool:
-        """Looks at the deadline only."""
+        """Returns whether a third of the time to the deadline has passed."""
         whole = run.deadline - run.arrived_at
         return now - run.started_at > whole / 3
 
 
 @attrs.define
 class TurnPlacement(BlindPlacement):
-    """Places requests round robin."""
+    """Places requests at the agents in round-robin order."""
 
     def choose(self, agents: list[model.Endpoint]) -> model.Endpoint:
-        """Chooses the next in turn."""
+        """Chooses the next agent in order."""
         self.turn += 1
         return agents[self.turn % len(agents)]
 
@@ -203,7 +206,7 @@
 def use_runs(
     node: controllers.Node, kind: type[RunDispatcher]
 ) -> RunDispatcher:
-    """Gives an agent another way to place, run and retry requests."""
+    """Replaces the dispatcher that places, runs and retries requests."""
     if not isinstance(node, controllers.AgentNode):
         raise TypeError("only agents run requests")
     old = node.runs
@@ -232,13 +235,13 @@
 
 
 def random_placement(node: controllers.Node) -> None:
-    """The naive version: each request at a random agent."""
+    """Baseline that places each request at a random agent."""
     if isinstance(node, controllers.AgentNode):
         use_runs(node, BlindPlacement)
 
 
 def round_robin(node: controllers.Node) -> None:
-    """The naive version: requests at the agents in turn."""
+    """Baseline that places requests in round-robin order."""
     if isinstance(node, controllers.AgentNode):
         use_runs(node, TurnPlacement)
 
@@ -246,7 +249,7 @@
 def budgeted(
     kind: type[BudgetedRuns], floor_per_s: float
 ) -> Callable[[controllers.Node], None]:
-    """Returns what gives agents a retry budget of a certain floor."""
+    """Returns a function that gives agents a retry budget with a floor rate."""
 
     def adapt(node: controllers.Node) -> None:
         if not isinstance(node, controllers.AgentNode):
--- a/notchhoist/testing/launcher.py
+++ b/notchhoist/testing/launcher.py
@@ -1,6 +1,6 @@
 """Starts deployments as real processes on loopback, for jobs and tests.
 
-The launcher is a harness: daemons themselves start no process.
+Only this test harness starts processes; the daemons start none.
 """
 
 import signal
@@ -41,7 +41,7 @@
 def free_endpoint(host: str = LOCAL) -> model.Endpoint:
     """Returns an endpoint whose port the kernel chose, free on TCP and UDP.
 
-    None is given twice by one launcher.
+    One process never returns the same endpoint twice.
     """
     while True:
         endpoint = _probe_endpoint(host)
@@ -67,14 +67,15 @@
     """A deployment of real processes.
 
     Attributes:
-        folder: Where settings, logs and reports go.
-        number: Number of the deployment; sets its loopback addresses.
-        plans: Its services.
-        balancers: How many entry hosts it has.
-        memory_s: Memory of once-only identities, seconds.
-        deadline_s: Deadline of every kind, seconds.
-        service_s: Time that a request takes, seconds.
-        processes: The processes by name.
+        folder: Folder for settings, logs and reports.
+        number: Number of the deployment; selects its loopback addresses.
+        plans: Plans of its services.
+        balancers: Number of entry hosts.
+        memory_s: How long identities of non-repeatable requests are
+            remembered, seconds.
+        deadline_s: Deadline of every kind of request, seconds.
+        service_s: Time that a backend server takes for a request, seconds.
+        processes: Processes by name.
     """
 
     folder: Path
@@ -91,7 +92,7 @@
     entries: dict[str, model.Endpoint] = attrs.Factory(dict)
 
     def start(self) -> None:
-        """Starts everything but the callers."""
+        """Starts every process except the callers."""
         self.folder.mkdir(exist_ok=True)
         self.configuration = self._make_configuration()
         document = self.folder / "published.json"
@@ -233,7 +234,7 @@
         self._spawn(settings.name, DAEMON, settings, "// notchhoistd\n")
 
     def stand_in(self, name: str, settings: StandInSettings) -> None:
-        """Starts a stand-in."""
+        """Starts a stand-in process."""
         self._spawn(name, STAND_IN, settings, "// stand-in\n")
 
     def _spawn(
@@ -251,7 +252,7 @@
             )
 
     def ask(self, host: str, path: str) -> httpx.Response:
-        """Asks the operator port of a host's daemon."""
+        """Sends a GET request to the operator port of a host's daemon."""
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         url = f"http://{self.operators[host]}{path}"
         return httpx.get(url, headers=headers, timeout=5.0, trust_env=False)
@@ -267,16 +268,16 @@
             return False
 
     def kill(self, name: str) -> None:
-        """Kills a process at once."""
+        """Kills a process with SIGKILL and waits for its exit."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def wait(self, name: str, limit_s: float) -> int:
-        """Waits for a process to end and returns its exit status."""
+        """Waits for a process to exit and returns its exit status."""
         return self.processes[name].wait(limit_s)
 
     def stop(self) -> None:
-        """Stops every process as planned."""
+        """Stops every process with SIGTERM; kills those that do not exit."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
--- a/notchhoist/testing/main_job.py
+++ b/notchhoist/testing/main_job.py
@@ -1,9 +1,9 @@
-"""The main job: both deployments of the brief, in small, as real processes.
+"""End-to-end test of two small deployments that run as real processes.
 
-``python -m notchhoist.testing.main_job`` brings up the platform, fabric,
-backend servers, agents and balancers on loopback, lets callers book, read,
-upload and follow streams with every packet sprayed, prints what came of it,
-and ends with status 0 only when every check held.
+``python -m notchhoist.testing.main_job`` starts the platform, fabric, backend
+servers, agents and balancers on loopback. Callers book, read, upload and follow
+streams; the fabric sends each packet to a random balancer. The job prints the
+figures of each service and exits with status 0 only if every check holds.
 """
 
 import collections
@@ -45,7 +45,7 @@
 
 
 def booking_tasks(caller: int) -> list[Task]:
-    """Returns the tasks of a conductor: bookings and roster feeds."""
+    """Returns the tasks of a conductor: bookings and roster reads."""
     tasks = []
     for turn in range(5):
         name = f"h{caller:02}{turn}"
@@ -70,7 +70,7 @@
 
 
 def feed_tasks(caller: int) -> list[Task]:
-    """Returns the tasks of a field unit: a stream, or check-ins."""
+    """Returns the tasks of a field unit: one stream, or several check-ins."""
     if caller % 2:
         name = f"f{caller:02}"
         return [Task("feed", "GET", "feed-hub", name, Mode.STREAM, size=12)]
@@ -81,7 +81,7 @@
 
 
 def bundle_tasks(caller: int) -> list[Task]:
-    """Returns the tasks of a field unit that brings its bundle."""
+    """Returns the tasks of a field unit that uploads its bundle."""
     return [
         Task(
             "bundle",
@@ -131,7 +131,7 @@
 
 
 async def run(deployments: Sequence[Deployment]) -> list[str]:
-    """Brings the deployments up and lets the callers do their tasks."""
+    """Starts the deployments, runs the callers and returns the problems."""
     for deployment in deployments:
         deployment.start()
     lagging = await wait_ready(deployments)
@@ -152,10 +152,11 @@
     """Waits until every daemon is ready and witnesses no longer abstain.
 
     Args:
-        deployments: What has been started.
+        deployments: Deployments that have been started.
 
     Returns:
-        The hosts that were not ready in time.
+        The hosts that are not ready within ``READY_LIMIT_S``; empty if all
+        are.
     """
     until = anyio.current_time() + READY_LIMIT_S
     while True:
@@ -178,7 +179,7 @@
 
 
 def report(deployments: Sequence[Deployment]) -> list[str]:
-    """Prints the figures of every service; returns what did not hold."""
+    """Prints the figures of every service; returns the failed checks."""
     problems = []
     for deployment in deployments:
         for plan in deployment.plans:
@@ -187,7 +188,7 @@
 
 
 def report_service(deployment: Deployment, plan: ServicePlan) -> list[str]:
-    """Prints the figures of one service; returns what did not hold."""
+    """Prints the figures of one service; returns the failed checks."""
     path = deployment.report_of(f"callers-{plan.name}")
     if not path.exists():
         return [f"{plan.name}: no report of its callers"]
@@ -207,12 +208,12 @@
 
 
 def load(path: Path, wanted: type[T]) -> T:
-    """Reads a report."""
+    """Reads a report file as an instance of a class."""
     return documents.structure(orjson.loads(path.read_bytes()), wanted).unwrap()
 
 
 def imbalance(servers: Sequence[BackendReport]) -> float:
-    """Returns max over mean of slot occupancy."""
+    """Returns the maximum over the mean of slot utilization."""
     taken = [server.busy_s / server.slots for server in servers]
     mean = sum(taken) / len(taken)
     return max(taken) / mean if mean else 1.0
@@ -232,7 +233,7 @@
 
 
 def latencies_of(told: Sequence[Told]) -> str:
-    """Returns percentiles of the time from the first packet to the last answer.
+    """Returns percentiles of the time from first packet to final answer.
 
     Examples:
         >>> latencies_of([Told(0, "s", "r", Result.ANSWERED, "r", 0.05, "k")])
@@ -249,7 +250,7 @@
 
 
 def count_own(history: History) -> int:
-    """Returns how many answers were the answer to their own request."""
+    """Counts the answers that belong to the request they were sent for."""
     return sum(
         item.result is Result.ANSWERED and item.request in item.payload
         for item in history.told
@@ -259,7 +260,7 @@
 def problems_of(
     plan: ServicePlan, history: History, servers: Sequence[BackendReport]
 ) -> list[str]:
-    """Returns what did not hold for one service."""
+    """Returns the failed checks of one service."""
     violations: list[Violation] = history.check()
     problems = [f"{plan.name}: {item}" for item in violations]
     problems += [
--- a/notchhoist/testing/platform_service.py
+++ b/notchhoist/testing/platform_service.py
@@ -1,8 +1,8 @@
-"""Stand-in of the platform: read and watch over HTTP, plus test controls.
+"""Stand-in for the platform: its HTTP read API, plus controls for tests.
 
-``GET /configuration?after=N&wait=S`` and ``GET /hosts`` are what the system
-uses. Everything under ``/test`` stands for the operator's own means and for
-faults: publish, go stale, go down, change the host list.
+The system reads ``GET /configuration?after=N&wait=S`` (long polling) and
+``GET /hosts``. The paths under ``/test`` publish a configuration as the
+operator does and inject faults: stale reads, an outage, a changed host list.
 """
 
 import anyio
@@ -27,19 +27,19 @@
 
 @attrs.define
 class PlatformState:
-    """What the platform holds.
+    """State of the platform.
 
     Attributes:
-        document: The published text.
-        revision: Its revision.
-        stale: An older text that readers get instead, or None.
-        down: Every read fails.
+        document: Text of the published configuration.
+        revision: Revision of the published configuration.
+        stale: Older text that readers get instead, or None.
+        down: Whether every read fails.
         live: Names of live hosts.
-        leaving: Names of leaving hosts.
-        reads: Reads so far.
-        lag_s: The host list shows a change this late, seconds.
-        coming: Leaving hosts that the list does not show yet, and when it
-            will.
+        leaving: Names of draining hosts.
+        reads: Number of reads so far.
+        lag_s: Delay until the host list shows a change, seconds.
+        coming: Changes that the host list does not show yet: when it will,
+            and the names of the draining hosts from then on.
     """
 
     document: bytes = b""
@@ -53,16 +53,19 @@
     coming: list[tuple[float, list[str]]] = attrs.Factory(list)
 
     def announce_leaving(self, names: list[str], now: float) -> None:
-        """Notes which hosts are leaving; the list shows it later."""
+        """Records the draining hosts; the list shows them after ``lag_s``."""
         self.coming.append((now + self.lag_s, names))
 
     def refresh(self, now: float) -> None:
-        """Lets the list show what is due."""
+        """Applies the recorded changes whose time has come to the host list."""
         while self.coming and self.coming[0][0] <= now:
             self.leaving = self.coming.pop(0)[1]
 
     def publish(self, text: bytes) -> bool:
-        """Publishes a document; False where its revision is not the next."""
+        """Publishes a configuration; returns whether it was accepted.
+
+        Only a valid configuration with the next revision is accepted.
+        """
         result = documents.parse_configuration(text)
         if not isinstance(result, Success):
             return False
@@ -73,7 +76,12 @@
         return True
 
     def read(self, after: int) -> bytes | None:
-        """Returns the text if it is newer, empty if not, None when down."""
+        """Returns the text for a reader that has a revision.
+
+        Returns:
+            The stale text if one is set, else the published text if it is
+            newer than the revision, else empty bytes; None during an outage.
+        """
         if self.down:
             return None
         if self.stale is not None:
@@ -82,7 +90,7 @@
 
 
 def make_platform_app(state: PlatformState) -> Starlette:
-    """Makes the HTTP application of the platform."""
+    """Creates the HTTP application of the platform."""
 
     async def configuration(request: Request) -> Response:
         state.reads += 1
--- a/notchhoist/testing/rehearsal.py
+++ b/notchhoist/testing/rehearsal.py
@@ -1,8 +1,8 @@
-"""A rehearsal night: more work than slots, of several kinds, on odd servers.
+"""Load test of one service in the simulated network, with faulty servers.
 
-Callers arrive at random (Poisson) at a multiple of the service's capacity.
-One server starts cold, one sheds, and one lies about its load. Policies that
-place requests are run on the same arrivals.
+Callers arrive as a Poisson process at a multiple of the service's capacity.
+One server starts cold, one sheds requests, and one reports a false load.
+Different placement policies can be run on the same arrivals.
 """
 
 import collections
@@ -31,17 +31,18 @@
 
 @attrs.define
 class Night:
-    """Figures of one night.
+    """Figures of one load test.
 
     Attributes:
-        answered: Answers by kind.
-        refused: Refusals by kind.
-        unknown: Requests with an unknown outcome by kind.
+        answered: Number of answers by kind.
+        refused: Number of refusals by kind.
+        unknown: Number of requests with an unknown outcome by kind.
         latencies: Latency of answers by kind, microseconds.
         refusal_latencies: Time to a refusal, microseconds.
-        imbalance: Mean over time of max over mean of slot occupancy.
-        over: Times that a server held more than its slots.
-        violations: Broken promises.
+        imbalance: Maximum over mean of slot utilization, averaged over time.
+        over: Number of samples in which a server ran more requests than it
+            has slots.
+        violations: Number of broken guarantees.
     """
 
     answered: collections.Counter[str] = attrs.Factory(collections.Counter)
@@ -56,7 +57,7 @@
     violations: int = 0
 
     def p(self, kind: str, percentile: float) -> float:
-        """Returns a latency percentile of a kind, milliseconds."""
+        """Returns a latency percentile of a kind in milliseconds."""
         histogram = self.latencies.get(kind)
         if histogram is None:
             return 0.0
@@ -71,15 +72,16 @@
     adapt: Adapt | None = None,
     odd: bool = True,
 ) -> Night:
-    """Runs a night and returns its figures.
+    """Runs a load test and returns its figures.
 
     Args:
-        plan: The service.
-        load: Arrivals as a multiple of capacity.
-        seconds: How long callers arrive.
-        seed: Seed of everything.
-        adapt: Changes each node at its start.
-        odd: One server starts cold, one sheds, one lies about its load.
+        plan: Plan of the service.
+        load: Arrival rate as a multiple of capacity.
+        seconds: How long callers arrive, seconds.
+        seed: Seed of all random numbers.
+        adapt: Called with each node at its start, to change it.
+        odd: Whether one server starts cold, one sheds requests and one
+            reports a false load.
 
     Returns:
         The figures.
@@ -116,7 +118,7 @@
 def arrive(
     world: World, plan: ServicePlan, load: float, seconds: float
 ) -> None:
-    """Lets callers with one request each arrive at random."""
+    """Schedules callers with one request each as a Poisson process."""
     rate = load * sum(plan.slots) / SERVICE_S
     at = 0.0
     number = 0
@@ -137,7 +139,7 @@
 
 
 def void(_: object) -> None:
-    """Does nothing with a value."""
+    """Discards the result of a call, for callbacks that return None."""
 
 
 def _sample(world: World, night: Night, seconds: float) -> None:
--- a/notchhoist/testing/stand_in.py
+++ b/notchhoist/testing/stand_in.py
@@ -1,7 +1,8 @@
-"""Process entry of the stand-ins: platform, fabric, backend server, callers.
+"""Entry point of the stand-ins: platform, fabric, backend server, callers.
 
-``python -m notchhoist.testing.stand_in SETTINGS`` with a settings file in
-JSON with comments, one of the classes below under the key of its role.
+Run as ``python -m notchhoist.testing.stand_in SETTINGS``. The settings file is
+JSON with comments and holds the settings of one role under the role's key
+(``StandInSettings``).
 """
 
 import random
@@ -32,8 +33,8 @@
     """Settings of the platform.
 
     Attributes:
-        at: Where it answers.
-        document: File with the first document.
+        at: Endpoint that it listens on.
+        document: File with the configuration that is published at the start.
     """
 
     at: model.Endpoint
@@ -45,8 +46,8 @@
     """One service of the fabric.
 
     Attributes:
-        entry: Where callers send to.
-        targets: The service at each balancer.
+        entry: Endpoint that callers send to.
+        targets: Endpoint of the service at each balancer.
     """
 
     entry: model.Endpoint
@@ -66,8 +67,8 @@
     """Settings of a backend server.
 
     Attributes:
-        at: Where it answers.
-        profile: How it behaves.
+        at: Endpoint that it listens on.
+        profile: Behavior of the server.
         report: File that it writes its report to when it stops.
     """
 
@@ -81,11 +82,11 @@
     """Settings of a group of callers.
 
     Attributes:
-        entry: Where they send to.
-        callers: The tasks of each.
-        report: File that they write their report to when they are done.
-        limit_s: They stop after this time, seconds.
-        seed: Seed of their draws.
+        entry: Endpoint that they send to.
+        callers: Tasks of each caller.
+        report: File that the history is written to when they are done.
+        limit_s: Time after which unfinished callers are stopped, seconds.
+        seed: Seed of their random numbers.
     """
 
     entry: model.Endpoint
@@ -97,7 +98,7 @@
 
 @attrs.frozen
 class StandInSettings:
-    """Settings of a stand-in: exactly one of the roles."""
+    """Settings of a stand-in; exactly one role is set."""
 
     platform: PlatformSettings | None = None
     fabric: FabricSettings | None = None
@@ -107,14 +108,14 @@
 
 @attrs.frozen
 class BackendReport:
-    """What a backend server says when it stops.
+    """Report that a backend server writes when it stops.
 
     Attributes:
-        name: Its name.
-        slots: Its slots.
-        busy_s: Slot seconds that were taken.
+        name: Name of the server.
+        slots: Number of its slots.
+        busy_s: Time that its slots were taken, summed over slots, seconds.
         peak: Most slots taken at the same time.
-        history: What it started.
+        history: Requests that it started.
     """
 
     name: str
@@ -149,7 +150,7 @@
 
 
 async def run_backend(settings: BackendSettings) -> None:
-    """Runs a backend server until it is told to stop."""
+    """Runs a backend server until a signal stops it."""
     port = open_udp(settings.at)
     history = History()
     backend = BackendModel(settings.profile, anyio.current_time(), history)
@@ -201,7 +202,7 @@
 
 
 async def run_callers(settings: CallersSettings) -> None:
-    """Runs a group of callers until all are done."""
+    """Runs a group of callers until all are done or time is up."""
     history = History()
     rng = random.Random(settings.seed)
     callers = [
@@ -236,7 +237,7 @@
 
 
 async def run(settings: StandInSettings) -> None:
-    """Runs the stand-in that the settings name."""
+    """Runs the stand-in whose role is set."""
     if settings.platform:
         await run_platform(settings.platform)
     if settings.fabric:
--- a/notchhoist/testing/tests/test_commands.py
+++ b/notchhoist/testing/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command lines of the project ask for what they need and no more."""
+"""Tests of the arguments of the project's command-line programs."""
 
 import cappa
 import pytest
@@ -20,7 +20,10 @@
 
 @pytest.mark.parametrize("command", COMMANDS.values(), ids=COMMANDS)
 def test_no_option_is_demanded(command):
-    """Two options whose default was 0.0 were: README's command failed."""
+    """Options are optional, also those with a falsy default.
+
+    Two options with default 0.0 were required, so the README's command failed.
+    """
     arguments = cappa.collect(command).arguments
     assert not [
         argument.field_name
--- a/notchhoist/testing/tests/test_processes.py
+++ b/notchhoist/testing/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: the path, the operator port, the tool."""
+"""Tests with real processes on loopback: data path, operator port, CLI."""
 
 import asyncio
 import contextlib
--- a/notchhoist/testing/tests/test_stand_ins.py
+++ b/notchhoist/testing/tests/test_stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-ins behave as the brief says the real systems do."""
+"""Tests that the stand-ins behave as the real systems are specified to."""
 
 import attrs
 from aiocoap import Message
--- a/notchhoist/testing/tour.py
+++ b/notchhoist/testing/tour.py
@@ -1,7 +1,7 @@
-"""A tour of the command language against the main job's stand-ins.
+"""Demonstration of the command language on a small deployment.
 
-``python -m notchhoist.testing.tour`` starts a small deployment, runs a few
-statements on it, and prints each with what it gives.
+``python -m notchhoist.testing.tour`` starts a deployment with the stand-ins of
+the main job, runs a few statements on it, and prints each with its output.
 """
 
 import sys
@@ -36,7 +36,7 @@
 
 
 def run_statements(settings: Path, statements: Sequence[str]) -> None:
-    """Runs statements through the tool, one after another."""
+    """Runs statements with the command-line tool, one after another."""
     for statement in statements:
         print(f"\nnotchhoist> {statement}", flush=True)
         command = tool.Command(settings=settings, statement=statement)
@@ -45,7 +45,7 @@
 
 
 def main() -> int:
-    """Runs the tour; returns the exit status."""
+    """Runs the demonstration; returns the exit status."""
     with tempfile.TemporaryDirectory(prefix="notchhoist-") as folder:
         plan = main_job.small(HALLBOOK, 2)
         deployment = launcher.Deployment(Path(folder), 5, (plan,), balancers=2)
--- a/notchhoistd.py
+++ b/notchhoistd.py
@@ -1,6 +1,7 @@
-"""Starts the daemon: ``python -m notchhoist.daemon`` without its search.
+"""Starts the daemon like ``python -m notchhoist.daemon``, but faster.
 
-``-m`` loads ``runpy`` and looks for the module first, a tenth of a start.
+``-m`` loads ``runpy`` and searches for the module first, which takes a tenth of
+the start-up time.
 """
 
 from notchhoist.daemon.__main__ import main
--- a/tools/regenerate_peer.sh
+++ b/tools/regenerate_peer.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Makes the generated Thrift code anew; needs Debian's thrift-compiler. The
-# result is committed.
+# Regenerates the Thrift code; needs Debian's thrift-compiler. The generated
+# files are committed.
 set -euo pipefail
 cd "$(dirname "$0")/../notchhoist"
 out="$(mktemp -d)"
