--- a/benchmarks/ablate.py
+++ b/benchmarks/ablate.py
@@ -24,7 +24,7 @@
 SERVES = re.compile(r"^(serves = .*)$", re.MULTILINE)
 
 
-def arguments():
+def parse_arguments():
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("checkout", type=pathlib.Path)
     parser.add_argument("play")
@@ -36,27 +36,29 @@
     return parser.parse_args()
 
 
-def put_off(deploy, text, name):
+def disable_mechanism(deploy, text, name):
     """Writes the deploy file with a mechanism disabled, or with none."""
     line = f'\\1\nenv = {{ NOTCHHOIST_OFF = "{name}" }}' if name else "\\1"
     deploy.write_text(SERVES.sub(line, text))
 
 
 def play(options, site, day, seed, name):
-    why = f"Ablation: without {name or 'nothing'}"
+    reason = f"Ablation: without {name or 'nothing'}"
     command = [options.play, "run", site, day, "--seed", seed, "--jobs", "1"]
-    done = subprocess.run(
-        [*command, "--why", why],
+    completed = subprocess.run(
+        [*command, "--why", reason],
         cwd=options.checkout,
         capture_output=True,
         text=True,
         check=False,
     )
-    found = WORTH.search(done.stdout)
-    if found is None:
-        raise SystemExit(f"{site} {day}: {done.stdout[-500:]}{done.stderr}")
-    broken = BROKEN.search(done.stdout)
-    return float(found[1]), broken[1] if broken else ""
+    match = WORTH.search(completed.stdout)
+    if match is None:
+        raise SystemExit(
+            f"{site} {day}: {completed.stdout[-500:]}{completed.stderr}"
+        )
+    broken = BROKEN.search(completed.stdout)
+    return float(match[1]), broken[1] if broken else ""
 
 
 def play_all(options, name):
@@ -68,11 +70,11 @@
         for seed in options.seeds.split(",")
     ]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        played = list(pool.map(lambda job: play(options, *job, name), jobs))
+        results = list(pool.map(lambda job: play(options, *job, name), jobs))
     worths = {}
-    for (site, day, _), (worth, _) in zip(jobs, played, strict=True):
+    for (site, day, _), (worth, _) in zip(jobs, results, strict=True):
         worths.setdefault((site, day), []).append(worth)
-    broken = sorted({rules for _, rules in played if rules})
+    broken = sorted({rules for _, rules in results if rules})
     return worths, broken
 
 
@@ -85,44 +87,46 @@
     return {site: statistics.mean(values) for site, values in means.items()}
 
 
-def spread(worths):
+def standard_errors(worths):
     """Returns the standard error of the mean worth of each site's days."""
-    found = {}
+    deviations_by_site = {}
     for (site, _), values in worths.items():
         deviation = statistics.pstdev(values) / len(values) ** 0.5
-        found.setdefault(pathlib.Path(site).stem, []).append(deviation)
+        deviations_by_site.setdefault(pathlib.Path(site).stem, []).append(
+            deviation
+        )
     return {
-        site: (sum(one * one for one in all_) ** 0.5) / len(all_)
-        for site, all_ in found.items()
+        site: (sum(item * item for item in deviations) ** 0.5) / len(deviations)
+        for site, deviations in deviations_by_site.items()
     }
 
 
 def main():
-    options = arguments()
+    options = parse_arguments()
     deploy = options.checkout / "deploy/system.toml"
     text = deploy.read_text()
     lines = []
 
-    def tell(line):
+    def emit(line):
         print(line, flush=True)
         lines.append(line)
 
     try:
-        whole, _ = play_all(options, "")
-        base, off_by = by_site(whole), spread(whole)
-        tell("| out of use | " + " | ".join(base) + " | broken |")
-        tell("|---|" + "---|" * (len(base) + 1))
-        tell(
+        base_worths, _ = play_all(options, "")
+        base, errors = by_site(base_worths), standard_errors(base_worths)
+        emit("| out of use | " + " | ".join(base) + " | broken |")
+        emit("|---|" + "---|" * (len(base) + 1))
+        emit(
             "| nothing | "
-            + " | ".join(f"{base[s]:.3f} ± {off_by[s]:.3f}" for s in base)
+            + " | ".join(f"{base[s]:.3f} ± {errors[s]:.3f}" for s in base)
             + " | |"
         )
         for name in options.off.split(","):
-            put_off(deploy, text, name)
+            disable_mechanism(deploy, text, name)
             worths, broken = play_all(options, name)
             means = by_site(worths)
             cells = " | ".join(f"{means[s] - base[s]:+.3f}" for s in base)
-            tell(f"| `{name}` | {cells} | {'; '.join(broken)} |")
+            emit(f"| `{name}` | {cells} | {'; '.join(broken)} |")
     finally:
         deploy.write_text(text)
         if options.out is not None:
--- a/benchmarks/bench_balance.py
+++ b/benchmarks/bench_balance.py
@@ -27,20 +27,21 @@
 )
 
 
-def row(plan, load, name, adapt, seconds):
+def print_row(plan, load, name, adapt, seconds):
     """Prints the figures of one load test."""
-    night = rehearsal.run_night(plan, load, seconds, SEED, adapt)
+    figures = rehearsal.run_night(plan, load, seconds, SEED, adapt)
     kinds = "; ".join(
-        f"{kind} {night.answered[kind]} answered, "
-        f"{night.refused[kind]} refused, {night.unknown[kind]} unknown, "
-        f"p50 {night.p(kind, 50):.0f} p99 {night.p(kind, 99):.0f} ms"
-        for kind in rehearsal.kinds_of(plan)
+        f"{kind} {figures.answered[kind]} answered, "
+        f"{figures.refused[kind]} refused, {figures.unknown[kind]} unknown, "
+        f"p50 {figures.latency_ms(kind, 50):.0f} "
+        f"p99 {figures.latency_ms(kind, 99):.0f} ms"
+        for kind in rehearsal.kind_names(plan)
     )
-    refusal = night.refusal_latencies.get_value_at_percentile(50) / 1000
+    refusal = figures.refusal_latencies.get_value_at_percentile(50) / 1000
     print(
-        f"  {load:.1f} {name:12} imbalance {night.imbalance:.2f}; {kinds}; "
-        f"refusal p50 {refusal:.0f} ms; over slots {night.over}, "
-        f"violations {night.violations}"
+        f"  {load:.1f} {name:12} imbalance {figures.imbalance:.2f}; {kinds}; "
+        f"refusal p50 {refusal:.0f} ms; over slots {figures.over}, "
+        f"violations {figures.violations}"
     )
 
 
@@ -51,7 +52,7 @@
         print(f"{plan.name}: {sum(plan.slots)} slots")
         for load in LOADS:
             for name, adapt in VERSIONS.items():
-                row(plan, load, name, adapt, seconds)
+                print_row(plan, load, name, adapt, seconds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -21,7 +21,7 @@
 from notchhoist.testing import deployment
 from notchhoist.testing.fleet import make_fleet
 
-OWN_TICKS = 20
+TICKS_PER_S = 20
 SECONDS = 30
 FLOWS = (0, 1000, 2000, 3255)
 AGENTS = (500, 2000, 4300)
@@ -32,7 +32,7 @@
 PEERS = 10
 
 
-def through_codec(effects):
+def encode_effects(effects):
     """Encodes the messages that are sent; returns their bytes and number."""
     sent = [e for e in effects if isinstance(e, model.SendPeer)]
     size = 0
@@ -59,29 +59,29 @@
     return node, service
 
 
-def reports(service):
+def encoded_reports(service):
     """Returns an encoded load report from each peer."""
-    found = []
+    encoded = []
     for server in service.servers[1:]:
         report = model.LoadReport(
             service.name, server.name, 2, 2, 0, False, 5, 4, 100, 50
         )
-        found.append(wire.encode_peer(wire.Envelope(server.agent, report)))
-    return found
+        encoded.append(wire.encode_peer(wire.Envelope(server.agent, report)))
+    return encoded
 
 
-def agent_control(flows):
+def measure_agent(flows):
     """Returns the processor share, bytes/s and messages/s of an agent."""
     node, service = make_agent()
-    peers = reports(service)
+    peers = encoded_reports(service)
     for number in range(flows):
         caller = model.Endpoint(f"10.{number // 250}.0.{number % 250}", 9)
         node.flows.adopt(caller, 0.0).streams[b"t"] = 0.0
     size = count = 0
     began = time.process_time()
-    for tick in range(SECONDS * OWN_TICKS):
-        now = tick / OWN_TICKS
-        got = through_codec(node.tick(now))
+    for tick in range(SECONDS * TICKS_PER_S):
+        now = tick / TICKS_PER_S
+        got = encode_effects(node.tick(now))
         size, count = size + got[0], count + got[1]
         if tick % 5 == 0:
             for data in peers:
@@ -89,11 +89,11 @@
                 node.handle(
                     model.PeerMessage(envelope.sender, envelope.message), now
                 )
-    used = time.process_time() - began
-    return used / SECONDS, size / SECONDS, count / SECONDS
+    used_s = time.process_time() - began
+    return used_s / SECONDS, size / SECONDS, count / SECONDS
 
 
-def agent_memory(flows):
+def measure_agent_memory(flows):
     """Returns the memory of an agent's state with some flows, in bytes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -110,7 +110,7 @@
     return size
 
 
-def balancer_control(agents):
+def measure_balancer(agents):
     """Returns the processor share and bytes/s of a balancer.
 
     Each agent pings three of 580 balancers a second, and each of 4,880 daemons
@@ -122,7 +122,7 @@
     node = world.hosts[fleet.configuration.balancers[0].peer].node
     share = agents / TARGET_AGENTS
     pings = int(share * TARGET_AGENTS * 3 / 580 * SECONDS)
-    asks = int(share * 4880 / 1.5 / 580 * SECONDS)
+    queries = int(share * 4880 / 1.5 / 580 * SECONDS)
     sender = fleet.configuration.services[0].agents()[0]
     name = fleet.configuration.services[0].name
     incoming = [
@@ -131,27 +131,27 @@
         wire.encode_peer(
             wire.Envelope(sender, model.ConfigAsk(1, name, "zone-0"))
         )
-    ] * asks
+    ] * queries
     random.Random(1).shuffle(incoming)
     for number in range(agents):
         peer = model.Endpoint(f"10.9.{number // 250}.{number % 250}", 7000)
         node.board.agents[peer] = blackboards.AgentHealth()
     size = 0
     began = time.process_time()
-    for tick in range(SECONDS * OWN_TICKS):
-        now = world.now + tick / OWN_TICKS
-        size += through_codec(node.tick(now))[0]
-        batch = incoming[tick :: SECONDS * OWN_TICKS]
+    for tick in range(SECONDS * TICKS_PER_S):
+        now = world.now + tick / TICKS_PER_S
+        size += encode_effects(node.tick(now))[0]
+        batch = incoming[tick :: SECONDS * TICKS_PER_S]
         for data in batch:
             envelope = wire.decode_peer(data)
             event = model.PeerMessage(envelope.sender, envelope.message)
-            size += through_codec(node.handle(event, now))[0]
-    used = time.process_time() - began
+            size += encode_effects(node.handle(event, now))[0]
+    used_s = time.process_time() - began
     received = sum(len(data) for data in incoming)
-    return used / SECONDS, (size + received) / SECONDS
+    return used_s / SECONDS, (size + received) / SECONDS
 
 
-def hint_memory(hints):
+def measure_hint_memory(hints):
     """Returns the memory of a balancer's hints in bytes."""
     host = deployment.balancer_host(0, ("z",))
     node = deployment.balancer_maker(host)(0.0, 1)
@@ -167,7 +167,7 @@
     return size
 
 
-def data_path():
+def measure_request():
     """Returns the processor time of a request at the agent, seconds."""
     node, service = make_agent()
     caller = model.Endpoint("10.0.0.1", 9)
@@ -190,14 +190,14 @@
         began = time.process_time()
         envelope = wire.decode_peer(data)
         event = model.PeerMessage(envelope.sender, envelope.message)
-        through_codec(node.handle(event, now))
+        encode_effects(node.handle(event, now))
         event = model.BackendDatagram(caller, answer)
-        through_codec(node.handle(event, now))
+        encode_effects(node.handle(event, now))
         agent_s += time.process_time() - began
     return agent_s / REQUESTS
 
 
-def line(name, sizes, values, target, unit):
+def print_fit(name, sizes, values, target, unit):
     """Prints a linear fit and its value at the target."""
     slope, base = statistics.linear_regression(sizes, values)
     shown = ", ".join(
@@ -214,22 +214,22 @@
 def main():
     """Prints every fit."""
     print("agent, by flows (all of them pinned streams)")
-    rows = [agent_control(flows) for flows in FLOWS]
+    rows = [measure_agent(flows) for flows in FLOWS]
     shares = [row[0] * 100 for row in rows]
-    line("processor share", FLOWS, shares, TARGET_FLOWS, "%")
-    line("sent", FLOWS, [row[1] for row in rows], TARGET_FLOWS, "bytes/s")
-    line("messages", FLOWS, [row[2] for row in rows], TARGET_FLOWS, "/s")
-    sizes = [agent_memory(flows) / 1e6 for flows in FLOWS]
-    line("board with directory", FLOWS, sizes, TARGET_FLOWS, "MB")
+    print_fit("processor share", FLOWS, shares, TARGET_FLOWS, "%")
+    print_fit("sent", FLOWS, [row[1] for row in rows], TARGET_FLOWS, "bytes/s")
+    print_fit("messages", FLOWS, [row[2] for row in rows], TARGET_FLOWS, "/s")
+    sizes = [measure_agent_memory(flows) / 1e6 for flows in FLOWS]
+    print_fit("board with directory", FLOWS, sizes, TARGET_FLOWS, "MB")
     print("balancer, by agents")
-    rows = [balancer_control(agents) for agents in AGENTS]
+    rows = [measure_balancer(agents) for agents in AGENTS]
     shares = [row[0] * 100 for row in rows]
-    line("processor share", AGENTS, shares, TARGET_AGENTS, "%")
+    print_fit("processor share", AGENTS, shares, TARGET_AGENTS, "%")
     both = [row[1] for row in rows]
-    line("sent and received", AGENTS, both, TARGET_AGENTS, "bytes/s")
-    sizes = [hint_memory(hints) / 1e6 for hints in HINTS]
-    line("hints", HINTS, sizes, HINTS[-1], "MB")
-    print(f"data path: {data_path() * 1e6:.0f} us a GET at the agent")
+    print_fit("sent and received", AGENTS, both, TARGET_AGENTS, "bytes/s")
+    sizes = [measure_hint_memory(hints) / 1e6 for hints in HINTS]
+    print_fit("hints", HINTS, sizes, HINTS[-1], "MB")
+    print(f"data path: {measure_request() * 1e6:.0f} us a GET at the agent")
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -16,13 +16,13 @@
 DEFAULT_SIZES = (10, 100, 500)
 TARGET = 4880
 CHANGES = 5
-CALM_S = 20.0
+IDLE_S = 20.0
 LIMIT_S = 10.0
 CHANGES_A_DAY = 2500
 DAY_S = 86_400
 
 
-def per_daemon(fleet, before, seconds):
+def bytes_per_daemon(fleet, before, seconds):
     """Returns the bytes sent per second, averaged over all daemons."""
     sent = collections.Counter(fleet.world.bytes_by_type)
     sent.subtract(before)
@@ -37,9 +37,9 @@
     world.run(5.0)
     before = collections.Counter(world.bytes_by_type)
     reads = world.platform.reads
-    world.run(CALM_S)
-    calm = per_daemon(fleet, before, CALM_S)
-    calm_reads = (world.platform.reads - reads) / CALM_S
+    world.run(IDLE_S)
+    idle = bytes_per_daemon(fleet, before, IDLE_S)
+    idle_reads = (world.platform.reads - reads) / IDLE_S
     times = []
     before = collections.Counter(world.bytes_by_type)
     began = world.now
@@ -48,7 +48,7 @@
         times.append(fleet.everywhere_after(LIMIT_S))
         world.run(2.0)
     busy_s = world.now - began
-    change_bytes = (per_daemon(fleet, before, busy_s) - calm) * busy_s
+    change_bytes = (bytes_per_daemon(fleet, before, busy_s) - idle) * busy_s
     change_bytes /= CHANGES
     records = sum(
         len(host.node.board.config.store.services)
@@ -58,12 +58,12 @@
     print(
         f"  {len(world.hosts):4} nodes: start {at_start:.2f} s, "
         f"change {max(times):.2f} s at worst, "
-        f"{calm_reads:.1f} platform reads a second, "
-        f"{calm:.0f} bytes a second a daemon, "
+        f"{idle_reads:.1f} platform reads a second, "
+        f"{idle:.0f} bytes a second a daemon, "
         f"{change_bytes:.0f} bytes a change a daemon, "
         f"{records} records at balancers"
     )
-    return len(world.hosts), max(times), calm_reads, calm, change_bytes
+    return len(world.hosts), max(times), idle_reads, idle, change_bytes
 
 
 def main():
--- a/benchmarks/bench_flow_capacity.py
+++ b/benchmarks/bench_flow_capacity.py
@@ -36,13 +36,13 @@
 HEADERS_BYTES = 28
 
 
-def packet(number, flags=ACK, service=0, data=b""):
+def make_packet(number, flags=ACK, service=0, data=b""):
     caller = (f"100.{64 + number // 60000}.{number % 250}.1", number % 60000)
     frame = Frame(caller, ("198.18.0.1", 1000 + service), flags, 1, 1, data)
     return encode_frame(frame, b"k")
 
 
-def balancer(servers):
+def make_loaded_balancer(servers):
     services = max(1, servers // SERVERS_A_SERVICE)
     routes = [
         Route(
@@ -67,7 +67,7 @@
     return node, services
 
 
-def answer(node, effects, now):
+def answer_effects(node, effects, now):
     """Answers for every agent at once; returns control bytes both ways."""
     sent = 0
     for effect in effects:
@@ -81,69 +81,71 @@
         segment = CODEC.decode_request(effect.datagram)
         if notes.kind_of(segment.note) is NoteKind.PLACE:
             note = notes.to_balancer(NoteKind.ACCEPTED, Load(30, 1, 60))
-            head = CODEC.header_with_note(segment, note)
-            sent += len(head) + HEADERS_BYTES
-            node.on_agent(effect.host, CODEC.decode_request(head), now)
+            header = CODEC.header_with_note(segment, note)
+            sent += len(header) + HEADERS_BYTES
+            node.on_agent(effect.host, CODEC.decode_request(header), now)
     return sent
 
 
-def run_balancer(servers):
-    node, services = balancer(servers)
+def measure_balancer(servers):
+    node, services = make_loaded_balancer(servers)
     now = sent = number = 0
-    begun = time.process_time()
+    began = time.process_time()
     while now < SECONDS:
         now += 1 / NEW_FLOWS_PER_S
         number += 1
-        syn = CODEC.decode_request(packet(number, SYN, number % services))
-        sent += answer(node, node.on_caller(syn, now), now)
+        syn = CODEC.decode_request(make_packet(number, SYN, number % services))
+        sent += answer_effects(node, node.on_caller(syn, now), now)
         for _ in range(PACKETS_PER_S // NEW_FLOWS_PER_S):
-            old = 1 + number * 7 % number if number else 1
-            raw = packet(old, ACK, old % services, b"x" * 100)
+            earlier = 1 + number * 7 % number if number else 1
+            raw = make_packet(earlier, ACK, earlier % services, b"x" * 100)
             segment = CODEC.decode_request(raw)
-            sent += answer(node, node.on_caller(segment, now), now)
-        sent += answer(node, node.tick(now), now)
-    busy = (time.process_time() - begun) / SECONDS
-    return sent / SECONDS, busy
+            sent += answer_effects(node, node.on_caller(segment, now), now)
+        sent += answer_effects(node, node.tick(now), now)
+    processor_share = (time.process_time() - began) / SECONDS
+    return sent / SECONDS, processor_share
 
 
-def memory_of_flows(flows):
-    node, services = balancer(100)
+def measure_memory(flows):
+    node, services = make_loaded_balancer(100)
     tracemalloc.start()
     for number in range(flows):
-        raw = packet(number, SYN, number % services)
-        answer(node, node.on_caller(CODEC.decode_request(raw), 0.0), 0.0)
+        raw = make_packet(number, SYN, number % services)
+        answer_effects(
+            node, node.on_caller(CODEC.decode_request(raw), 0.0), 0.0
+        )
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size
 
 
-def agent_packet_s(flows):
+def measure_agent_packet_s(flows):
     node = make_agent("s", CODEC, 0.0)
     tag = notes.service_tag("s")
     for number in range(flows):
-        syn = CODEC.decode_request(packet(number, SYN))
+        syn = CODEC.decode_request(make_packet(number, SYN))
         note = notes.to_agent(NoteKind.PLACE, tag)
         raw = CODEC.with_note(syn, note)
         node.on_balancer("10.0.0.1", CODEC.decode_request(raw), 0.0)
-    begun = time.process_time()
+    began = time.process_time()
     for number in range(2000):
-        raw = packet(number % flows, ACK, data=b"x" * 100)
+        raw = make_packet(number % flows, ACK, data=b"x" * 100)
         segment = CODEC.decode_request(raw)
         note = notes.to_agent(NoteKind.FORWARD, tag)
         noted = CODEC.decode_request(CODEC.with_note(segment, note))
         node.on_balancer("10.0.0.1", noted, 1.0)
-    return (time.process_time() - begun) / 2000
+    return (time.process_time() - began) / 2000
 
 
 def main():
     print("balancer, 57 new flows and 600 packets a second")
     print(f"{'servers':>8}{'control B/s':>14}{'% of a core':>14}")
     for servers in (100, 1000, 4300):
-        sent, busy = run_balancer(servers)
-        print(f"{servers:>8}{sent:>14.0f}{busy * 100:>14.2f}")
-    few, many = memory_of_flows(2000), memory_of_flows(20000)
+        sent, processor_share = measure_balancer(servers)
+        print(f"{servers:>8}{sent:>14.0f}{processor_share * 100:>14.2f}")
+    few, many = measure_memory(2000), measure_memory(20000)
     print(f"balancer: {(many - few) / 18000:.0f} bytes a flow")
-    node, _ = balancer(4300)
+    node, _ = make_loaded_balancer(4300)
     told = sum(
         len(encode_message(effect.message))
         for effect in node.on_peer("10.9.9.7", ViewAsk(0), 0.0)
@@ -151,7 +153,7 @@
     )
     print(f"whole view of 4,300 servers, 430 routes: {told} bytes")
     for flows in (500, 3255):
-        cost = agent_packet_s(flows) * 1e6
+        cost = measure_agent_packet_s(flows) * 1e6
         print(f"agent with {flows} flows: {cost:.0f} us a packet")
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(f"peak memory of this benchmark {peak:.0f} MB")
--- a/benchmarks/bench_flows.py
+++ b/benchmarks/bench_flows.py
@@ -28,7 +28,7 @@
     return broken
 
 
-def many_at_once(seeds):
+def print_overlapping_changes(seeds):
     """Prints for how many seeds random overlapping changes break a flow."""
     for version, adapt in VERSIONS.items():
         broken = collections.Counter()
@@ -59,7 +59,7 @@
             share = sum(broken.values()) / total
             causes = dict(sorted(broken.items()))
             print(f"  {name:18} {version:16} {share:6.2%} {causes}")
-    many_at_once(RANDOM_SEEDS)
+    print_overlapping_changes(RANDOM_SEEDS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_logging.py
+++ b/benchmarks/bench_logging.py
@@ -22,7 +22,7 @@
 ROUNDS = 7
 
 
-def write_lines(fd):
+def measure_line(fd):
     """Returns the processor time and the size of a line."""
     now = [0.0]
 
@@ -50,7 +50,7 @@
     return took / LINES, os.fstat(fd).st_size / LINES
 
 
-def place_flows():
+def measure_placement():
     """Returns the processor time to place a flow and record the decision."""
     node = make_balancer("a", crafting.CODEC, "seed")
     node.fleet.on_table(crafting.table(), 1)
@@ -72,8 +72,8 @@
     lines, flows = [], []
     for _ in range(ROUNDS):
         with tempfile.TemporaryFile() as file:
-            lines.append(write_lines(file.fileno()))
-        flows.append(place_flows())
+            lines.append(measure_line(file.fileno()))
+        flows.append(measure_placement())
     line_s = statistics.median(item[0] for item in lines)
     size = statistics.median(item[1] for item in lines)
     flow_s = statistics.median(flows)
--- a/benchmarks/bench_memory.py
+++ b/benchmarks/bench_memory.py
@@ -23,7 +23,7 @@
     return 0.0
 
 
-def used_s(pid):
+def processor_s(pid):
     """Returns the processor time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
@@ -36,17 +36,17 @@
     pids = {
         host: deployment.processes[host].pid for host in deployment.operators
     }
-    before = {host: used_s(pid) for host, pid in pids.items()}
+    before = {host: processor_s(pid) for host, pid in pids.items()}
     await anyio.sleep(IDLE_S)
     for host, pid in pids.items():
-        share = (used_s(pid) - before[host]) / IDLE_S
+        share = (processor_s(pid) - before[host]) / IDLE_S
         print(f"  {host:12} {resident_mb(pid):.0f} MB, {share:.1%} of a core")
 
 
 def main():
     """Runs two balancers and three agents and prints what each uses."""
     with tempfile.TemporaryDirectory() as folder:
-        plan = main_job.small(HALLBOOK, 3)
+        plan = main_job.with_fewer_servers(HALLBOOK, 3)
         deployment = launcher.Deployment(Path(folder), 4, (plan,), balancers=2)
         try:
             anyio.run(measure, deployment)
--- a/benchmarks/bench_once.py
+++ b/benchmarks/bench_once.py
@@ -21,12 +21,12 @@
 KINDS = ("GrantRequest", "GrantReply")
 VERSIONS = {
     "naive": baselines.without_memory,
-    "one witness": baselines.home_alone,
+    "one witness": baselines.single_witness,
     "two of three": None,
 }
 
 
-def storm(name, adapt, gap_s, seeds):
+def print_violations(name, adapt, gap_s, seeds):
     """Prints the violations and results of one version under faults."""
     broken = 0
     results = collections.Counter()
@@ -42,7 +42,7 @@
     print(f"  {name:13} broken {broken}/{seeds}: {shares}")
 
 
-def steady(name, adapt, dead):
+def print_cost(name, adapt, dead):
     """Prints the cost of one version, optionally with one host killed."""
     world = World(random.Random(7), count_bytes=True, adapt=adapt)
     configuration = build_world(
@@ -83,11 +83,11 @@
     ):
         print(f"{title}: {seeds} seeds, a fault every {gap_s} s")
         for name, adapt in VERSIONS.items():
-            storm(name, adapt, gap_s, seeds)
+            print_violations(name, adapt, gap_s, seeds)
     for dead in (False, True):
         print("cost, one host dead:" if dead else "cost, all alive:")
         for name, adapt in VERSIONS.items():
-            steady(name, adapt, dead)
+            print_cost(name, adapt, dead)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_recovery.py
+++ b/benchmarks/bench_recovery.py
@@ -16,13 +16,13 @@
 from notchhoist.testing.deployment import build_world
 from notchhoist.testing.world import World
 
-GAP_S = 0.1
+BOOKING_GAP_S = 0.1
 AFTER_S = 90.0
-TURN_S = 4.0
-AWAY_S = 1.0
+REPLACE_GAP_S = 4.0
+DOWNTIME_S = 1.0
 STEP_S = 0.05
-WHOLE_LIMIT_S = 80.0
-WHOLE = ("configuration", "load", "flows", "memory")
+RECOVERY_LIMIT_S = 80.0
+STATE_KINDS = ("configuration", "load", "flows", "memory")
 
 
 def make_world(seed):
@@ -36,22 +36,24 @@
     return world, configuration.services[0]
 
 
-def replace(world, peers, gap_s):
+def replace_hosts(world, peers, gap_s):
     """Replaces hosts at regular intervals; each restarts without state."""
     for place, peer in enumerate(peers):
         world.at(place * gap_s, lambda peer=peer: world.kill(peer))
-        world.at(place * gap_s + AWAY_S, lambda peer=peer: world.start(peer))
+        world.at(
+            place * gap_s + DOWNTIME_S, lambda peer=peer: world.start(peer)
+        )
 
 
-def book(world, seconds):
+def schedule_bookings(world, seconds):
     """Schedules a booking every ``GAP_S`` and returns their number."""
-    count = int(seconds / GAP_S)
+    count = int(seconds / BOOKING_GAP_S)
     for number in range(count):
         task = Task("booking", "POST", chaos.PLAN.name, f"b{number:04}")
         host = f"172.{16 + number // 65_000}.{number // 250}.{number % 250}"
         endpoint = model.Endpoint(host, 9)
         world.at(
-            number * GAP_S,
+            number * BOOKING_GAP_S,
             lambda endpoint=endpoint, task=task: world.add_caller(
                 endpoint, [task]
             ),
@@ -59,14 +61,14 @@
     return count
 
 
-def row(name, peers_of, gap_s):
+def print_case(name, peers_of, gap_s):
     """Prints the figures of one case."""
     world, service = make_world(11)
     peers = peers_of(world, service)
     began = world.now
-    replace(world, peers, gap_s)
+    replace_hosts(world, peers, gap_s)
     duration = len(peers) * gap_s + AFTER_S
-    count = book(world, duration)
+    count = schedule_bookings(world, duration)
     world.run(duration)
     world.run_until(world.callers_done, 100.0)
     told = world.history.told
@@ -77,7 +79,7 @@
         if item.result.value != "answered"
     ]
     last = max(refused, default=began) - began
-    whole = sum(
+    full_witnesses = sum(
         not node.board.witness.is_recently_started(world.now)
         for node in (host.node for host in world.hosts.values())
         if isinstance(node, controllers.AgentNode)
@@ -86,11 +88,11 @@
         f"  {name:32} {count} bookings, {dict(sorted(results.items()))}, "
         f"last refusal {last:.1f} s after the first stop, "
         f"violations {len(world.history.check())}, "
-        f"{whole} witnesses older than a lifetime"
+        f"{full_witnesses} witnesses older than a lifetime"
     )
 
 
-def wholeness(site, agent, pinned):
+def recovered_state(site, agent, pinned):
     """Returns which kinds of state a restarted agent has recovered."""
     node = site.world.hosts[agent].node
     if not isinstance(node, controllers.AgentNode):
@@ -114,12 +116,12 @@
     return {flow.caller for flow in flows if flow.streams}
 
 
-def whole_row(name, count, at_once):
+def print_state_recovery(name, count, at_once):
     """Prints how long restarted agents take to recover each kind of state."""
     site = changes.make_site(5)
     agents = site.service.agents()[:count]
     pinned = {}
-    worst = dict.fromkeys(WHOLE, 0.0)
+    worst = dict.fromkeys(STATE_KINDS, 0.0)
     groups = [agents] if at_once else [[agent] for agent in agents]
     for group in groups:
         for agent in group:
@@ -128,12 +130,12 @@
             site.replace(agent)
         site.world.run(changes.AWAY_S + 0.001)
         began = site.world.now
-        missing = {(agent, what) for agent in group for what in WHOLE}
-        while missing and site.world.now - began < WHOLE_LIMIT_S:
+        missing = {(agent, what) for agent in group for what in STATE_KINDS}
+        while missing and site.world.now - began < RECOVERY_LIMIT_S:
             known = {
                 (agent, what)
                 for agent in group
-                for what in wholeness(site, agent, pinned[agent])
+                for what in recovered_state(site, agent, pinned[agent])
             }
             for _, what in missing & known:
                 worst[what] = max(worst[what], site.world.now - began)
@@ -141,24 +143,24 @@
             site.world.run(STEP_S)
         for _, what in missing:
             worst[what] = float("inf")
-    shown = ", ".join(f"{what} {worst[what]:.2f} s" for what in WHOLE)
+    shown = ", ".join(f"{what} {worst[what]:.2f} s" for what in STATE_KINDS)
     print(f"  {name:32} whole again after the start: {shown}")
 
 
 def main():
     """Runs every case."""
-    whole_row("one agent of seven", 1, False)
-    whole_row("seven agents one after another", 7, False)
-    whole_row("two agents at once", 2, True)
-    whole_row("seven agents at once", 7, True)
+    print_state_recovery("one agent of seven", 1, False)
+    print_state_recovery("seven agents one after another", 7, False)
+    print_state_recovery("two agents at once", 2, True)
+    print_state_recovery("seven agents at once", 7, True)
     agents = lambda world, service: list(service.agents())  # noqa: E731
     balancers = lambda world, service: list(world.entries)  # noqa: E731
-    one = lambda world, service: [service.agents()[0]]  # noqa: E731
-    row("one agent", one, TURN_S)
-    row("agents one after another", agents, TURN_S)
-    row("all agents at once", agents, 0.0)
-    row("balancers one after another", balancers, TURN_S)
-    row("all balancers at once", balancers, 0.0)
+    one_agent = lambda world, service: [service.agents()[0]]  # noqa: E731
+    print_case("one agent", one_agent, REPLACE_GAP_S)
+    print_case("agents one after another", agents, REPLACE_GAP_S)
+    print_case("all agents at once", agents, 0.0)
+    print_case("balancers one after another", balancers, REPLACE_GAP_S)
+    print_case("all balancers at once", balancers, 0.0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_retries.py
+++ b/benchmarks/bench_retries.py
@@ -18,9 +18,9 @@
 
 from notchhoist.testing import chaos, deployment, rehearsal
 from notchhoist.testing.baselines import (
-    BudgetedRuns,
-    ImpatientRuns,
-    budgeted,
+    BudgetedDispatcher,
+    EarlyTimeoutDispatcher,
+    with_retry_budget,
 )
 from notchhoist.testing.world import World
 
@@ -43,22 +43,22 @@
 
 VERSIONS = {
     "ours": None,
-    "paper budget": budgeted(BudgetedRuns, PAPER_FLOOR),
-    "tight budget": budgeted(BudgetedRuns, TIGHT_FLOOR),
-    "old rule": budgeted(ImpatientRuns, UNBOUNDED),
-    "old, paper": budgeted(ImpatientRuns, PAPER_FLOOR),
-    "old, tight": budgeted(ImpatientRuns, TIGHT_FLOOR),
+    "paper budget": with_retry_budget(BudgetedDispatcher, PAPER_FLOOR),
+    "tight budget": with_retry_budget(BudgetedDispatcher, TIGHT_FLOOR),
+    "old rule": with_retry_budget(EarlyTimeoutDispatcher, UNBOUNDED),
+    "old, paper": with_retry_budget(EarlyTimeoutDispatcher, PAPER_FLOOR),
+    "old, tight": with_retry_budget(EarlyTimeoutDispatcher, TIGHT_FLOOR),
 }
 
 
-def run(seed, adapt, load, slow_s):
+def run_experiment(seed, adapt, load, slow_s):
     """Runs the experiment; returns the world and when it became slow."""
     world = World(random.Random(seed), adapt=adapt)
     deployment.build_world(world, (ROSTER,), service_s=SERVICE_S)
     chaos.trust_first_start(world)
     world.run(2.0)
-    whole = QUIET_S + slow_s + AFTER_S
-    rehearsal.arrive(world, ROSTER, load, whole)
+    duration = QUIET_S + slow_s + AFTER_S
+    rehearsal.schedule_arrivals(world, ROSTER, load, duration)
     began = world.now + QUIET_S
 
     def set_factor(factor):
@@ -67,24 +67,28 @@
 
     world.at(QUIET_S, lambda: set_factor(SLOW_FACTOR))
     world.at(QUIET_S + slow_s, lambda: set_factor(1.0))
-    world.run(whole)
+    world.run(duration)
     world.run_until(world.callers_done, 70.0)
     return world, began
 
 
-def figures(name, adapt, load, slow_s):
+def print_figures(name, adapt, load, slow_s):
     """Prints the figures of one version."""
-    world, began = run(5, adapt, load, slow_s)
+    world, began = run_experiment(5, adapt, load, slow_s)
     starts = collections.Counter(int(s.at) for s in world.history.started)
     slow = range(int(began), int(began + slow_s) + 1)
     rate = load * sum(ROSTER.slots) / SERVICE_S
-    worst = max(starts[second] for second in slow) / rate
-    names = collections.Counter(s.request for s in world.history.started)
-    repeated = sum(count - 1 for count in names.values()) / len(names)
+    peak = max(starts[second] for second in slow) / rate
+    starts_by_request = collections.Counter(
+        s.request for s in world.history.started
+    )
+    repeated = sum(count - 1 for count in starts_by_request.values()) / len(
+        starts_by_request
+    )
     results = collections.Counter(t.result.value for t in world.history.told)
     answered = results["answered"] / sum(results.values())
     print(
-        f"  {name:12} worst second {worst:.2f}x of arrivals, "
+        f"  {name:12} worst second {peak:.2f}x of arrivals, "
         f"extra starts {repeated:.1%}, answered {answered:.1%}, "
         f"{dict(sorted(results.items()))}"
     )
@@ -96,7 +100,7 @@
     for load in LOADS:
         print(f"eight times slower for {slow_s:.0f} s at {load} of capacity")
         for name, adapt in VERSIONS.items():
-            figures(name, adapt, load, slow_s)
+            print_figures(name, adapt, load, slow_s)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_start.py
+++ b/benchmarks/bench_start.py
@@ -17,7 +17,7 @@
 import tempfile
 
 RUNS = 7
-PREPARE = """
+LOAD = """
 import resource, sys
 from notchhoist.daemon.flow_runner import make_daemon
 from notchhoist.daemon.flow_journal import FlowJournal
@@ -30,12 +30,12 @@
 daemon = make_daemon(load_host_settings(sys.argv[1]), loop, journal)
 daemon.start()
 """
-EARLIER = "import notchhoist.daemon.main"
+LOAD_COAP = "import notchhoist.daemon.main"
 
 
-def settings(role):
+def make_settings(role):
     listen = {"datagram_addr": "127.9.1.1:0", "ready": "127.9.1.1:0"}
-    made = {
+    document = {
         "node": role,
         "serves": [role],
         "ip": "127.9.1.1",
@@ -48,8 +48,8 @@
     }
     if role == "side":
         listen["outbound"] = "127.9.1.1:0"
-        made.update(app="127.9.1.1:1", service="s")
-    return made
+        document.update(app="127.9.1.1:1", service="s")
+    return document
 
 
 def measure(code, path):
@@ -65,7 +65,7 @@
     command[3] = code + report
     for _ in range(RUNS):
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
-        done = subprocess.run(
+        completed = subprocess.run(
             command,
             env={**os.environ, "PYTHONPATH": path_list},
             capture_output=True,
@@ -76,7 +76,7 @@
         seconds.append(
             after.ru_utime - before.ru_utime + after.ru_stime - before.ru_stime
         )
-        memory.append(int(done.stdout.split()[-1]) / 1024)
+        memory.append(int(completed.stdout.split()[-1]) / 1024)
     return statistics.median(seconds), statistics.median(memory)
 
 
@@ -87,10 +87,10 @@
         for role in ("front", "side"):
             path = os.path.join(folder, role)
             with open(path, "w") as file:
-                json.dump(settings(role), file)
-            rows.append((f"{role}: loaded", measure(PREPARE, path)))
-            rows.append((f"{role}: listening", measure(PREPARE + BIND, path)))
-        rows.append(("CoAP daemon: loaded", measure(EARLIER, "")))
+                json.dump(make_settings(role), file)
+            rows.append((f"{role}: loaded", measure(LOAD, path)))
+            rows.append((f"{role}: listening", measure(LOAD + BIND, path)))
+        rows.append(("CoAP daemon: loaded", measure(LOAD_COAP, "")))
     print(f"{'':<22}{'CPU s':>8}{'MB':>8}{'ratio':>8}")
     for name, (seconds, memory) in rows:
         ratio = seconds / bare[0]
--- a/benchmarks/make_days.py
+++ b/benchmarks/make_days.py
@@ -117,14 +117,14 @@
     number: int, first: str, second: str, closing: str, rng: random.Random
 ) -> str:
     """Returns the text of a day on which two faults occur twice each."""
-    moment = rng.uniform(2.0, 5.0)
+    first_at = rng.uniform(2.0, 5.0)
     gap = rng.uniform(0.1, 3.0)
-    again = rng.uniform(14.0, 18.0)
+    second_at = rng.uniform(14.0, 18.0)
     faults = [
-        (moment, first),
-        (moment + gap, second),
-        (again, second),
-        (again + gap, first),
+        (first_at, first),
+        (first_at + gap, second),
+        (second_at, second),
+        (second_at + gap, first),
     ]
     plan = sorted(
         (rng.uniform(1.0, LENGTH_S - 6.0), work)
@@ -150,12 +150,12 @@
 def make_days() -> dict[str, str]:
     """Returns the text of each file by its name."""
     rng = random.Random(SEED)
-    troubles = STORE + PROCESSES + LINKS + SERVERS
-    partners = list(troubles)
+    variants = STORE + PROCESSES + LINKS + SERVERS
+    partners = list(variants)
     rng.shuffle(partners)
     days = {}
     for number, (first, second) in enumerate(
-        zip(troubles, partners, strict=True)
+        zip(variants, partners, strict=True)
     ):
         closing = CLOSINGS[number % len(CLOSINGS)]
         text = day_text(number, first, second, closing, rng)
--- a/notchhoist/testing/baselines.py
+++ b/notchhoist/testing/baselines.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class NoMemory(ClaimCoordinator):
+class AlwaysGrantedClaims(ClaimCoordinator):
     """Grants every claim at once: only retransmissions are recognized."""
 
     def start(self, run: Run, purpose: model.Purpose, now: float) -> None:
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class HomeAlone(ClaimCoordinator):
+class SingleWitnessClaims(ClaimCoordinator):
     """Asks only the first witness; refuses requests while it is unreachable."""
 
     def witness_sets(
@@ -40,7 +40,9 @@
         return tuple(group[:1] for group in sets)
 
 
-def use_claims(node: controllers.Node, kind: type[ClaimCoordinator]) -> None:
+def replace_claims(
+    node: controllers.Node, kind: type[ClaimCoordinator]
+) -> None:
     """Replaces the claim coordinator of an agent."""
     if not isinstance(node, controllers.AgentNode):
         return
@@ -52,12 +54,12 @@
 
 def without_memory(node: controllers.Node) -> None:
     """Baseline without witnesses."""
-    use_claims(node, NoMemory)
+    replace_claims(node, AlwaysGrantedClaims)
 
 
-def home_alone(node: controllers.Node) -> None:
+def single_witness(node: controllers.Node) -> None:
     """Baseline with one witness, the first one of the identity."""
-    use_claims(node, HomeAlone)
+    replace_claims(node, SingleWitnessClaims)
 
 
 @attrs.define
@@ -90,7 +92,7 @@
 
 
 @attrs.define
-class StayingMover(FlowMover):
+class DisabledFlowMover(FlowMover):
     """Moves no flow: without a directory, no balancer would find it."""
 
     def move_stream(self, run: Run, now: float) -> bool:
@@ -102,30 +104,34 @@
         return False
 
 
-def use_forwarder(node: controllers.Node, kind: type[FlowForwarder]) -> None:
+def replace_forwarder(
+    node: controllers.Node, kind: type[FlowForwarder]
+) -> None:
     """Replaces the forwarder of a balancer, and the flow mover of an agent."""
     if isinstance(node, controllers.BalancerNode):
         node.forwarder = kind(node.board, node.forwarder.rng)
     elif isinstance(node, controllers.AgentNode):
-        node.runs.moves = StayingMover(node.board, node.loads, node.flows)
+        node.runs.moves = DisabledFlowMover(node.board, node.loads, node.flows)
 
 
 def plain_rendezvous(node: controllers.Node) -> None:
     """Baseline that uses rendezvous hashing without a directory."""
-    use_forwarder(node, PlainRendezvous)
+    replace_forwarder(node, PlainRendezvous)
 
 
 def modulo_table(node: controllers.Node) -> None:
     """Baseline that uses the hash modulo the number of agents."""
-    use_forwarder(node, ModuloTable)
+    replace_forwarder(node, ModuloTable)
 
 
 @attrs.define
-class BlindPlacement(RunDispatcher):
+class RandomPlacement(RunDispatcher):
     """Places each request at a random agent, regardless of load."""
 
-    turn: int = 0
-    give: Callable[[Run, model.Endpoint, float], None] = attrs.field(init=False)
+    position: int = 0
+    delegate_to: Callable[[Run, model.Endpoint, float], None] = attrs.field(
+        init=False
+    )
 
     def dispatch(self, run: Run, now: float) -> None:
         """Runs or queues the request at the chosen agent."""
@@ -139,7 +145,7 @@
         if chosen == self.board.identity.peer:
             self.enter_or_queue(run, True, now)
         else:
-            self.give(run, chosen, now)
+            self.delegate_to(run, chosen, now)
 
     def placeable(self, now: float) -> list[model.Endpoint]:
         """Returns the agents that are alive and not draining."""
@@ -152,7 +158,7 @@
 
 
 @attrs.define
-class BudgetedRuns(RunDispatcher):
+class BudgetedDispatcher(RunDispatcher):
     """Retries only within a budget that successes replenish.
 
     Attributes:
@@ -184,7 +190,7 @@
 
 
 @attrs.define
-class ImpatientRuns(BudgetedRuns):
+class EarlyTimeoutDispatcher(BudgetedDispatcher):
     """Ends every execution after a third of the time to the deadline."""
 
     def is_faster_elsewhere(self, run: Run, now: float) -> bool:
@@ -194,16 +200,16 @@
 
 
 @attrs.define
-class TurnPlacement(BlindPlacement):
+class RoundRobinPlacement(RandomPlacement):
     """Places requests at the agents in round-robin order."""
 
     def choose(self, agents: list[model.Endpoint]) -> model.Endpoint:
         """Chooses the next agent in order."""
-        self.turn += 1
-        return agents[self.turn % len(agents)]
+        self.position += 1
+        return agents[self.position % len(agents)]
 
 
-def use_runs(
+def replace_dispatcher(
     node: controllers.Node, kind: type[RunDispatcher]
 ) -> RunDispatcher:
     """Replaces the dispatcher that places, runs and retries requests."""
@@ -227,8 +233,8 @@
     runs.delegate = delegations.delegate
     runs.delegate_continuation = delegations.delegate_continuation
     runs.ask_outcome = delegations.ask_outcome
-    if isinstance(runs, BlindPlacement):
-        runs.give = lambda run, agent, now: delegations.delegate_to(
+    if isinstance(runs, RandomPlacement):
+        runs.delegate_to = lambda run, agent, now: delegations.delegate_to(
             run, agent, True, now
         )
     return runs
@@ -237,25 +243,25 @@
 def random_placement(node: controllers.Node) -> None:
     """Baseline that places each request at a random agent."""
     if isinstance(node, controllers.AgentNode):
-        use_runs(node, BlindPlacement)
+        replace_dispatcher(node, RandomPlacement)
 
 
 def round_robin(node: controllers.Node) -> None:
     """Baseline that places requests in round-robin order."""
     if isinstance(node, controllers.AgentNode):
-        use_runs(node, TurnPlacement)
+        replace_dispatcher(node, RoundRobinPlacement)
 
 
-def budgeted(
-    kind: type[BudgetedRuns], floor_per_s: float
+def with_retry_budget(
+    kind: type[BudgetedDispatcher], floor_per_s: float
 ) -> Callable[[controllers.Node], None]:
     """Returns a function that gives agents a retry budget with a floor rate."""
 
     def adapt(node: controllers.Node) -> None:
         if not isinstance(node, controllers.AgentNode):
             return
-        runs = use_runs(node, kind)
-        if isinstance(runs, BudgetedRuns):
+        runs = replace_dispatcher(node, kind)
+        if isinstance(runs, BudgetedDispatcher):
             runs.budget = RetryBudget(floor_per_s=floor_per_s)
 
     return adapt
--- a/notchhoist/testing/launcher.py
+++ b/notchhoist/testing/launcher.py
@@ -35,7 +35,7 @@
 STAND_IN = (sys.executable, "-m", "notchhoist.testing.stand_in")
 
 
-_given: set[model.Endpoint] = set()
+_allocated: set[model.Endpoint] = set()
 
 
 def free_endpoint(host: str = LOCAL) -> model.Endpoint:
@@ -45,8 +45,8 @@
     """
     while True:
         endpoint = _probe_endpoint(host)
-        if endpoint is not None and endpoint not in _given:
-            _given.add(endpoint)
+        if endpoint is not None and endpoint not in _allocated:
+            _allocated.add(endpoint)
             return endpoint
 
 
@@ -206,12 +206,12 @@
             service.name, server.name, server.slots, self.service_s
         )
         settings = BackendSettings(
-            server.address, profile, str(self.report_of(server.name))
+            server.address, profile, str(self.report_path(server.name))
         )
         name = f"backend-{server.name}"
         self.stand_in(name, StandInSettings(backend=settings))
 
-    def report_of(self, name: str) -> Path:
+    def report_path(self, name: str) -> Path:
         """Returns the report file of a backend server or caller group."""
         return self.folder / f"{name}.report.json"
 
@@ -222,7 +222,7 @@
         settings = CallersSettings(
             entry=self.entries[service],
             callers=tuple(tuple(tasks) for tasks in callers),
-            report=str(self.report_of(f"callers-{service}")),
+            report=str(self.report_path(f"callers-{service}")),
             limit_s=limit_s,
             seed=self.number + 11,
         )
@@ -251,7 +251,7 @@
                 [*command, str(path)], stdout=log, stderr=log
             )
 
-    def ask(self, host: str, path: str) -> httpx.Response:
+    def get_operator(self, host: str, path: str) -> httpx.Response:
         """Sends a GET request to the operator port of a host's daemon."""
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         url = f"http://{self.operators[host]}{path}"
@@ -263,7 +263,7 @@
 
     def _is_ready(self, host: str) -> bool:
         try:
-            return self.ask(host, "/health").json()["revision"] >= 1
+            return self.get_operator(host, "/health").json()["revision"] >= 1
         except (httpx.HTTPError, KeyError, ValueError):
             return False
 
--- a/notchhoist/testing/main_job.py
+++ b/notchhoist/testing/main_job.py
@@ -39,7 +39,7 @@
 PERCENTILES = (50.0, 90.0, 99.0)
 
 
-def small(plan: ServicePlan, servers: int) -> ServicePlan:
+def with_fewer_servers(plan: ServicePlan, servers: int) -> ServicePlan:
     """Returns a plan with fewer backend servers."""
     return attrs.evolve(plan, slots=plan.slots[:servers])
 
@@ -109,12 +109,18 @@
             Deployment(
                 Path(folder, "one"),
                 1,
-                (small(HALLBOOK, 3), small(SCOREDROP, 2)),
+                (
+                    with_fewer_servers(HALLBOOK, 3),
+                    with_fewer_servers(SCOREDROP, 2),
+                ),
             ),
             Deployment(
                 Path(folder, "two"),
                 2,
-                (small(FEED_HUB, 3), small(ARCHIVE_INTAKE, 2)),
+                (
+                    with_fewer_servers(FEED_HUB, 3),
+                    with_fewer_servers(ARCHIVE_INTAKE, 2),
+                ),
             ),
         ]
         try:
@@ -158,14 +164,14 @@
         The hosts that are not ready within ``READY_LIMIT_S``; empty if all
         are.
     """
-    until = anyio.current_time() + READY_LIMIT_S
+    deadline = anyio.current_time() + READY_LIMIT_S
     while True:
         lagging = [host for item in deployments for host in item.lagging()]
         if not lagging:
             memory_s = max(item.memory_s for item in deployments)
             await anyio.sleep(memory_s + SETTLE_S)
             return []
-        if anyio.current_time() > until:
+        if anyio.current_time() > deadline:
             return lagging
         await anyio.sleep(POLL_S)
 
@@ -189,25 +195,27 @@
 
 def report_service(deployment: Deployment, plan: ServicePlan) -> list[str]:
     """Prints the figures of one service; returns the failed checks."""
-    path = deployment.report_of(f"callers-{plan.name}")
+    path = deployment.report_path(f"callers-{plan.name}")
     if not path.exists():
         return [f"{plan.name}: no report of its callers"]
-    history = load(path, History)
+    history = read_report(path, History)
     servers = [
-        load(deployment.report_of(f"{plan.name}-{place + 1}"), BackendReport)
+        read_report(
+            deployment.report_path(f"{plan.name}-{place + 1}"), BackendReport
+        )
         for place in range(len(plan.slots))
     ]
     for server in servers:
         history.started.extend(server.history.started)
         history.misdirected.extend(server.history.misdirected)
     print_service(plan, history, servers)
-    return problems_of(plan, history, servers)
+    return failed_checks(plan, history, servers)
 
 
 T = TypeVar("T")
 
 
-def load(path: Path, wanted: type[T]) -> T:
+def read_report(path: Path, wanted: type[T]) -> T:
     """Reads a report file as an instance of a class."""
     return documents.structure(orjson.loads(path.read_bytes()), wanted).unwrap()
 
@@ -225,18 +233,21 @@
     """Prints the figures of one service."""
     results = collections.Counter(item.result.value for item in history.told)
     print(f"{plan.name}: {len(history.told)} requests, {dict(results)}")
-    print(f"  own answers {count_own(history)}, broken {dict(history.broken)}")
+    print(
+        f"  own answers {count_matching_answers(history)}, "
+        f"broken {dict(history.broken)}"
+    )
     print(f"  imbalance {imbalance(servers):.2f} (max over mean)")
     for kind in sorted({item.kind for item in history.told}):
         told = [item for item in history.told if item.kind == kind]
-        print(f"  {kind}: {len(told)}, {latencies_of(told)}")
+        print(f"  {kind}: {len(told)}, {latency_text(told)}")
 
 
-def latencies_of(told: Sequence[Told]) -> str:
+def latency_text(told: Sequence[Told]) -> str:
     """Returns percentiles of the time from first packet to final answer.
 
     Examples:
-        >>> latencies_of([Told(0, "s", "r", Result.ANSWERED, "r", 0.05, "k")])
+        >>> latency_text([Told(0, "s", "r", Result.ANSWERED, "r", 0.05, "k")])
         'p50 50 ms p90 50 ms p99 50 ms'
     """
     histogram = HdrHistogram(1, MAX_LATENCY_US, 2)
@@ -249,7 +260,7 @@
     )
 
 
-def count_own(history: History) -> int:
+def count_matching_answers(history: History) -> int:
     """Counts the answers that belong to the request they were sent for."""
     return sum(
         item.result is Result.ANSWERED and item.request in item.payload
@@ -257,7 +268,7 @@
     )
 
 
-def problems_of(
+def failed_checks(
     plan: ServicePlan, history: History, servers: Sequence[BackendReport]
 ) -> list[str]:
     """Returns the failed checks of one service."""
--- a/notchhoist/testing/platform_service.py
+++ b/notchhoist/testing/platform_service.py
@@ -38,8 +38,8 @@
         leaving: Names of draining hosts.
         reads: Number of reads so far.
         lag_s: Delay until the host list shows a change, seconds.
-        coming: Changes that the host list does not show yet: when it will,
-            and the names of the draining hosts from then on.
+        pending_changes: Changes that the host list does not show yet: when
+            it will, and the names of the draining hosts from then on.
     """
 
     document: bytes = b""
@@ -50,16 +50,16 @@
     leaving: list[str] = attrs.Factory(list)
     reads: int = 0
     lag_s: float = 0.0
-    coming: list[tuple[float, list[str]]] = attrs.Factory(list)
+    pending_changes: list[tuple[float, list[str]]] = attrs.Factory(list)
 
     def announce_leaving(self, names: list[str], now: float) -> None:
         """Records the draining hosts; the list shows them after ``lag_s``."""
-        self.coming.append((now + self.lag_s, names))
+        self.pending_changes.append((now + self.lag_s, names))
 
     def refresh(self, now: float) -> None:
         """Applies the recorded changes whose time has come to the host list."""
-        while self.coming and self.coming[0][0] <= now:
-            self.leaving = self.coming.pop(0)[1]
+        while self.pending_changes and self.pending_changes[0][0] <= now:
+            self.leaving = self.pending_changes.pop(0)[1]
 
     def publish(self, text: bytes) -> bool:
         """Publishes a configuration; returns whether it was accepted.
@@ -117,13 +117,13 @@
         return Response(status_code=OK if accepted else CONFLICT)
 
     async def control(request: Request) -> Response:
-        wanted = orjson.loads(await request.body())
-        state.down = wanted.get("down", state.down)
-        state.lag_s = wanted.get("lag_s", state.lag_s)
-        if "leaving" in wanted:
-            state.announce_leaving(wanted["leaving"], anyio.current_time())
-        if "stale" in wanted:
-            state.stale = state.document if wanted["stale"] else None
+        changes = orjson.loads(await request.body())
+        state.down = changes.get("down", state.down)
+        state.lag_s = changes.get("lag_s", state.lag_s)
+        if "leaving" in changes:
+            state.announce_leaving(changes["leaving"], anyio.current_time())
+        if "stale" in changes:
+            state.stale = state.document if changes["stale"] else None
         return Response()
 
     return Starlette(
--- a/notchhoist/testing/rehearsal.py
+++ b/notchhoist/testing/rehearsal.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class Night:
+class LoadTestFigures:
     """Figures of one load test.
 
     Attributes:
@@ -56,7 +56,7 @@
     over: int = 0
     violations: int = 0
 
-    def p(self, kind: str, percentile: float) -> float:
+    def latency_ms(self, kind: str, percentile: float) -> float:
         """Returns a latency percentile of a kind in milliseconds."""
         histogram = self.latencies.get(kind)
         if histogram is None:
@@ -71,7 +71,7 @@
     seed: int,
     adapt: Adapt | None = None,
     odd: bool = True,
-) -> Night:
+) -> LoadTestFigures:
     """Runs a load test and returns its figures.
 
     Args:
@@ -95,27 +95,27 @@
     trust_first_start(world)
     world.run(2.0)
     if odd:
-        _make_odd(world)
-    arrive(world, plan, load, seconds)
-    night = Night()
-    _sample(world, night, seconds)
+        _make_servers_faulty(world)
+    schedule_arrivals(world, plan, load, seconds)
+    figures = LoadTestFigures()
+    _record_imbalance(world, figures, seconds)
     world.run_until(world.callers_done, 70.0)
-    _collect(world, night)
-    return night
+    _collect(world, figures)
+    return figures
 
 
-def _make_odd(world: World) -> None:
+def _make_servers_faulty(world: World) -> None:
     backends = list(world.backends.values())
     cold, shedding = backends[0], backends[1]
     cold.profile = attrs.evolve(cold.profile, cold_s=COLD_S)
     cold.started_at = world.now
     profile = attrs.evolve(shedding.profile, shed_every=SHED_EVERY)
     shedding.profile = profile
-    lying = backends[2]
-    lying.profile = attrs.evolve(lying.profile, load_lie=0.0)
+    misreporting = backends[2]
+    misreporting.profile = attrs.evolve(misreporting.profile, load_lie=0.0)
 
 
-def arrive(
+def schedule_arrivals(
     world: World, plan: ServicePlan, load: float, seconds: float
 ) -> None:
     """Schedules callers with one request each as a Poisson process."""
@@ -135,50 +135,52 @@
 def _caller(
     world: World, endpoint: model.Endpoint, task: Task
 ) -> Callable[[], None]:
-    return lambda: void(world.add_caller(endpoint, [task]))
+    return lambda: discard_result(world.add_caller(endpoint, [task]))
 
 
-def void(_: object) -> None:
+def discard_result(_: object) -> None:
     """Discards the result of a call, for callbacks that return None."""
 
 
-def _sample(world: World, night: Night, seconds: float) -> None:
-    ratios = []
+def _record_imbalance(
+    world: World, figures: LoadTestFigures, seconds: float
+) -> None:
+    imbalances = []
     until = world.now + seconds
     while world.now < until:
         world.run(SAMPLE_S)
-        ratios.append(_ratio(world, night))
-    settled = ratios[len(ratios) // 5 :]
-    night.imbalance = sum(settled) / len(settled)
+        imbalances.append(_sample_imbalance(world, figures))
+    steady = imbalances[len(imbalances) // 5 :]
+    figures.imbalance = sum(steady) / len(steady)
 
 
-def _ratio(world: World, night: Night) -> float:
+def _sample_imbalance(world: World, figures: LoadTestFigures) -> float:
     taken = []
     for backend in world.backends.values():
         slots = backend.profile.slots
-        night.over += len(backend.in_progress) > slots
+        figures.over += len(backend.in_progress) > slots
         taken.append(len(backend.in_progress) / slots)
     mean = sum(taken) / len(taken)
     return max(taken) / mean if mean else 1.0
 
 
-def _collect(world: World, night: Night) -> None:
+def _collect(world: World, figures: LoadTestFigures) -> None:
     for item in world.history.told:
         if item.result is Result.ANSWERED:
-            night.answered[item.kind] += 1
-            histogram = night.latencies.setdefault(
+            figures.answered[item.kind] += 1
+            histogram = figures.latencies.setdefault(
                 item.kind, HdrHistogram(1, MAX_LATENCY_US, 2)
             )
             histogram.record_value(max(1, int(item.latency_s * 1e6)))
         elif item.result in (Result.BUSY, Result.NOT_RUN):
-            night.refused[item.kind] += 1
+            figures.refused[item.kind] += 1
             latency = max(1, int(item.latency_s * 1e6))
-            night.refusal_latencies.record_value(latency)
+            figures.refusal_latencies.record_value(latency)
         else:
-            night.unknown[item.kind] += 1
-    night.violations = len(world.history.check())
+            figures.unknown[item.kind] += 1
+    figures.violations = len(world.history.check())
 
 
-def kinds_of(plan: ServicePlan) -> Sequence[str]:
+def kind_names(plan: ServicePlan) -> Sequence[str]:
     """Returns the names of a plan's kinds."""
     return [kind.name for kind in plan.kinds]
--- a/notchhoist/testing/tests/test_commands.py
+++ b/notchhoist/testing/tests/test_commands.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("command", COMMANDS.values(), ids=COMMANDS)
-def test_no_option_is_demanded(command):
+def test_no_option_is_required(command):
     """Options are optional, also those with a falsy default.
 
     Two options with default 0.0 were required, so the README's command failed.
@@ -32,7 +32,7 @@
     ]
 
 
-def test_the_command_of_the_readme_is_understood():
+def test_readme_command_is_parsed():
     text = ["quiet", "--seconds", "60"]
     command = cappa.parse(experiment.Command, argv=text)
     assert (command.scenario, command.seconds) == ("quiet", 60.0)
--- a/notchhoist/testing/tests/test_processes.py
+++ b/notchhoist/testing/tests/test_processes.py
@@ -15,15 +15,15 @@
 from notchhoist.cli.fleet_reader import FleetReader, OperatorSettings
 from notchhoist.testing import launcher
 from notchhoist.testing.deployment import HALLBOOK
-from notchhoist.testing.main_job import small, wait_ready
+from notchhoist.testing.main_job import wait_ready, with_fewer_servers
 
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 
 @pytest.fixture(scope="module")
 def site(tmp_path_factory):
     folder = tmp_path_factory.mktemp("site")
-    plan = small(HALLBOOK, 2)
+    plan = with_fewer_servers(HALLBOOK, 2)
     deployment = launcher.Deployment(folder, 3, (plan,), balancers=2)
     deployment.memory_s = 6.0
     deployment.start()
@@ -54,7 +54,7 @@
     context = await Context.create_client_context()
     try:
         response = await asyncio.wait_for(
-            context.request(message).response, PATIENCE_S
+            context.request(message).response, TIMEOUT_S
         )
     finally:
         await context.shutdown()
@@ -65,21 +65,21 @@
     return f"coap://{site.entries['hallbook']}/{path}"
 
 
-def test_an_ordinary_client_gets_its_answer(site):
+def test_standard_coap_client_gets_its_answer(site):
     message = Message(code=GET, uri=uri(site, "roster/hallbook/r-ordinary"))
     response = asyncio.run(ask(site, message))
     assert response.code.is_successful()
     assert b"r-ordinary" in response.payload
 
 
-def test_an_ordinary_client_books_once(site):
+def test_standard_coap_client_books(site):
     message = Message(code=POST, uri=uri(site, "booking/hallbook/b-ordinary"))
     response = asyncio.run(ask(site, message))
     assert response.code.is_successful()
     assert b"b-ordinary" in response.payload
 
 
-def test_garbage_on_every_port_is_counted_and_dropped(site):
+def test_malformed_data_on_every_port_is_counted_and_dropped(site):
     service = site.configuration.services[0]
     targets = [
         site.entries["hallbook"],
@@ -95,15 +95,15 @@
             stream = socket.create_connection((target.host, target.port))
             stream.sendall(b"no message")
             stream.close()
-    test_an_ordinary_client_gets_its_answer(site)
+    test_standard_coap_client_gets_its_answer(site)
     counters = [
-        site.ask(name, "/metrics").text
+        site.get_operator(name, "/metrics").text
         for name in (server.name for server in service.servers)
     ]
     assert all('event="peer_malformed"' in text for text in counters)
 
 
-def test_a_wrong_key_is_refused_with_a_type(site):
+def test_wrong_operator_key_is_refused_with_an_error_type(site):
     operator = next(iter(site.operators.values()))
     for headers in ({}, {"authorization": "Bearer wrong-key"}):
         response = httpx.get(
@@ -113,17 +113,20 @@
         assert response.json()["error"] == "operator_key_refused"
 
 
-def test_dump_pages_and_refusals(site):
-    page = site.ask("hallbook-1", "/dump/counters?limit=1").json()
+def test_dump_is_paged_and_refuses_bad_requests(site):
+    page = site.get_operator("hallbook-1", "/dump/counters?limit=1").json()
     assert len(page["entries"]) == 1
     assert page["total"] > 1
-    refused = site.ask("hallbook-1", "/dump/nothing")
+    refused = site.get_operator("hallbook-1", "/dump/nothing")
     assert refused.status_code == 404
     assert "counters" in refused.json()["expected"]
-    assert site.ask("hallbook-1", "/dump/flows?limit=x").status_code == 400
+    assert (
+        site.get_operator("hallbook-1", "/dump/flows?limit=x").status_code
+        == 400
+    )
 
 
-def test_statements_that_ask(reader, capsys):
+def test_query_statements_succeed(reader, capsys):
     for text in (
         "show services",
         "show servers where state = active order by server desc limit 1",
@@ -142,18 +145,18 @@
     assert "booking:40 roster:10" in shown
 
 
-def test_why_a_flow_is_where_it_is(site, reader, capsys):
-    test_an_ordinary_client_gets_its_answer(site)
+def test_why_flow_shows_the_owner(site, reader, capsys):
+    test_standard_coap_client_gets_its_answer(site)
     assert run_tool(reader, "show flows limit 1", json=True) == tool.EXIT_OK
     rows = documents.read_json(capsys.readouterr().out.encode()).unwrap()
     assert run_tool(reader, f"why flow {rows[0]['caller']}") == tool.EXIT_OK
     assert "owner" in capsys.readouterr().out
 
 
-def test_a_change_is_published_by_the_operator_and_waited_for(
+def test_operator_publishes_a_change_and_waits_for_it(
     site, reader, tmp_path, capsys
 ):
-    revision = site.ask("entry-3-0", "/health").json()["revision"]
+    revision = site.get_operator("entry-3-0", "/health").json()["revision"]
     wrong = run_tool(reader, "drop service hallbook", expect=revision + 7)
     assert wrong == tool.EXIT_CONFLICT
     path = tmp_path / "next.json"
@@ -173,30 +176,30 @@
     assert "lagging" in capsys.readouterr().out
 
 
-def test_statements_that_are_refused(reader, capsys):
+def test_invalid_statements_are_refused(reader, capsys):
     refused = "weigh kind nothing of hallbook 60"
     assert run_tool(reader, refused) == tool.EXIT_REFUSED
     assert run_tool(reader, "show") == tool.EXIT_BAD_STATEMENT
     assert "column 5: expected SUBJECT" in capsys.readouterr().err
 
 
-def test_a_terminated_balancer_ends_with_status_0(site):
+def test_terminated_balancer_exits_with_status_0(site):
     process = site.processes["entry-3-1"]
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE_S) == 0
+    assert process.wait(TIMEOUT_S) == 0
     place = 1
     site.start_balancer(place, site.configuration.balancers[place])
 
 
-def test_an_agent_killed_and_started_anew_serves_again(site):
+def test_restarted_agent_serves_again_after_a_kill(site):
     service = site.configuration.services[0]
     site.kill("hallbook-1")
-    test_an_ordinary_client_gets_its_answer(site)
+    test_standard_coap_client_gets_its_answer(site)
     site.start_agent(service, service.servers[0])
-    test_an_ordinary_client_gets_its_answer(site)
+    test_standard_coap_client_gets_its_answer(site)
 
 
-def test_endpoints_given_out_differ():
+def test_allocated_endpoints_differ():
     given = {launcher.free_endpoint() for _ in range(20)}
     assert len(given) == 20
     assert all(isinstance(item, model.Endpoint) for item in given)
--- a/notchhoist/testing/tests/test_stand_ins.py
+++ b/notchhoist/testing/tests/test_stand_ins.py
@@ -30,7 +30,7 @@
     return wire.decode_coap(reply.datagram)
 
 
-def test_sheds_what_it_has_no_slot_for():
+def test_server_sheds_requests_without_a_free_slot():
     backend = server()
     assert backend.receive(request(1, "r", "hallbook", "a"), SOURCE, 0.0) == []
     shed = answer(
@@ -40,7 +40,7 @@
     assert [item.request for item in backend.history.started] == ["a"]
 
 
-def test_a_cold_start_is_slow():
+def test_cold_server_is_slow():
     backend = server(cold_s=10.0)
     backend.receive(request(1, "r", "hallbook", "a"), SOURCE, 0.0)
     assert backend.tick(0.2) == []
@@ -55,7 +55,7 @@
     assert backend.tick(1.0) == []
 
 
-def test_a_passed_deadline_gets_no_answer():
+def test_request_past_its_deadline_gets_no_answer():
     backend = server()
     original = wire.decode_coap(request(1, "r", "hallbook", "a"))
     backend.receive(wire.with_deadline(original, 0.05), SOURCE, 0.0)
@@ -71,20 +71,20 @@
     assert refused.payload == b"draining"
 
 
-def test_the_load_endpoint_lags_and_may_lie():
+def test_load_endpoint_lags_and_may_report_a_false_load():
     backend = server()
     backend.receive(request(1, "r", "hallbook", "a"), SOURCE, 0.0)
     early = answer(backend.receive(request(2, "load"), SOURCE, 0.5))
     assert early.payload == b"0 of 1"
     late = answer(backend.receive(request(3, "load"), SOURCE, 2.5))
     assert late.payload == b"1 of 1"
-    liar = server(load_lie=0.0)
-    liar.receive(request(1, "r", "hallbook", "a"), SOURCE, 0.0)
-    lie = answer(liar.receive(request(2, "load"), SOURCE, 3.0))
-    assert lie.payload == b"0 of 1"
+    misreporting = server(load_lie=0.0)
+    misreporting.receive(request(1, "r", "hallbook", "a"), SOURCE, 0.0)
+    false_load = answer(misreporting.receive(request(2, "load"), SOURCE, 3.0))
+    assert false_load.payload == b"0 of 1"
 
 
-def test_the_host_list_lags():
+def test_host_list_lags():
     state = PlatformState(lag_s=30.0)
     state.announce_leaving(["hallbook-1"], 0.0)
     state.refresh(29.0)
@@ -93,7 +93,7 @@
     assert state.leaving == ["hallbook-1"]
 
 
-def test_the_platform_takes_only_the_next_revision():
+def test_platform_accepts_only_the_next_revision():
     state = PlatformState()
     assert not state.publish(b'{"revision": 2}')
     assert state.publish(b'{"revision": 1}')
@@ -109,7 +109,7 @@
     return Told(1.0, "s", "b1", result, payload, 0.1, "booking")
 
 
-def test_the_history_check_finds_each_broken_promise():
+def test_history_check_finds_each_broken_guarantee():
     start = Started(0.0, "s", "x", "b1", once=True)
     cases = {
         "at most once": History([start, start]),
@@ -117,6 +117,6 @@
         "own answer": History([], [told(Result.ANSWERED, "x|b2")]),
         "own service": History(misdirected=["b1"]),
     }
-    for promise, history in cases.items():
-        assert [item.promise for item in history.check()] == [promise]
+    for guarantee, history in cases.items():
+        assert [item.promise for item in history.check()] == [guarantee]
     assert History([start], [told(Result.ANSWERED, "x|b1")]).check() == []
--- a/notchhoist/testing/tour.py
+++ b/notchhoist/testing/tour.py
@@ -47,7 +47,7 @@
 def main() -> int:
     """Runs the demonstration; returns the exit status."""
     with tempfile.TemporaryDirectory(prefix="notchhoist-") as folder:
-        plan = main_job.small(HALLBOOK, 2)
+        plan = main_job.with_fewer_servers(HALLBOOK, 2)
         deployment = launcher.Deployment(Path(folder), 5, (plan,), balancers=2)
         try:
             deployment.start()
