--- a/benchmarks/ablate.py
+++ b/benchmarks/ablate.py
@@ -96,7 +96,8 @@
             deviation
         )
     return {
-        site: (sum(item * item for item in deviations) ** 0.5) / len(deviations)
+        site: (sum(error * error for error in deviations) ** 0.5)
+        / len(deviations)
         for site, deviations in deviations_by_site.items()
     }
 
--- a/notchhoist/testing/baselines.py
+++ b/notchhoist/testing/baselines.py
@@ -129,7 +129,7 @@
     """Places each request at a random agent, regardless of load."""
 
     position: int = 0
-    delegate_to: Callable[[Run, model.Endpoint, float], None] = attrs.field(
+    place_at: Callable[[Run, model.Endpoint, float], None] = attrs.field(
         init=False
     )
 
@@ -145,7 +145,7 @@
         if chosen == self.board.identity.peer:
             self.enter_or_queue(run, True, now)
         else:
-            self.delegate_to(run, chosen, now)
+            self.place_at(run, chosen, now)
 
     def placeable(self, now: float) -> list[model.Endpoint]:
         """Returns the agents that are alive and not draining."""
@@ -234,7 +234,7 @@
     runs.delegate_continuation = delegations.delegate_continuation
     runs.ask_outcome = delegations.ask_outcome
     if isinstance(runs, RandomPlacement):
-        runs.delegate_to = lambda run, agent, now: delegations.delegate_to(
+        runs.place_at = lambda run, agent, now: delegations.delegate_to(
             run, agent, True, now
         )
     return runs
