--- a/notchhoist/testing/tour.py
+++ b/notchhoist/testing/tour.py
@@ -31,7 +31,7 @@
 )
 
 
-async def _serve(deployment: launcher.Deployment) -> list[str]:
+async def _wait_ready(deployment: launcher.Deployment) -> list[str]:
     return await main_job.wait_ready([deployment])
 
 
@@ -51,7 +51,7 @@
         deployment = launcher.Deployment(Path(folder), 5, (plan,), balancers=2)
         try:
             deployment.start()
-            lagging = anyio.run(_serve, deployment)
+            lagging = anyio.run(_wait_ready, deployment)
             main_job.start_callers(deployment)
             deployment.wait("callers-hallbook", main_job.CALLER_LIMIT_S)
             settings = OperatorSettings(
