--- a/benchmarks/bench_balance.py
+++ b/benchmarks/bench_balance.py
@@ -1,10 +1,10 @@
-"""Imbalance and goodput on a rehearsal night, beside two blind policies.
+"""Imbalance and goodput under load, compared with two load-blind policies.
 
     python benchmarks/bench_balance.py [SECONDS]
 
-One server starts cold and one sheds every fifth request. Reports of load are
-250 ms old at worst; the blind policies place each request at random or in
-turn, with the same queues, limits and refusals.
+One server starts cold and one sheds every fifth request. Load reports are at
+most 250 ms old. The load-blind policies place each request at random or in
+round-robin order, with the same queues, limits and refusals.
 """
 
 import sys
@@ -27,31 +27,32 @@
 )
 
 
-def row(plan, load, name, adapt, seconds):
-    """Prints the figures of one night."""
-    night = rehearsal.run_night(plan, load, seconds, SEED, adapt)
+def print_row(plan, load, name, adapt, seconds):
+    """Prints the figures of one load test."""
+    figures = rehearsal.run_night(plan, load, seconds, SEED, adapt)
     kinds = "; ".join(
-        f"{kind} {night.answered[kind]} answered, "
-        f"{night.refused[kind]} refused, {night.unknown[kind]} unknown, "
-        f"p50 {night.p(kind, 50):.0f} p99 {night.p(kind, 99):.0f} ms"
-        for kind in rehearsal.kinds_of(plan)
+        f"{kind} {figures.answered[kind]} answered, "
+        f"{figures.refused[kind]} refused, {figures.unknown[kind]} unknown, "
+        f"p50 {figures.latency_ms(kind, 50):.0f} "
+        f"p99 {figures.latency_ms(kind, 99):.0f} ms"
+        for kind in rehearsal.kind_names(plan)
     )
-    refusal = night.refusal_latencies.get_value_at_percentile(50) / 1000
+    refusal = figures.refusal_latencies.get_value_at_percentile(50) / 1000
     print(
-        f"  {load:.1f} {name:12} imbalance {night.imbalance:.2f}; {kinds}; "
-        f"refusal p50 {refusal:.0f} ms; over slots {night.over}, "
-        f"violations {night.violations}"
+        f"  {load:.1f} {name:12} imbalance {figures.imbalance:.2f}; {kinds}; "
+        f"refusal p50 {refusal:.0f} ms; over slots {figures.over}, "
+        f"violations {figures.violations}"
     )
 
 
 def main():
-    """Prints every night."""
+    """Runs every load test."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SECONDS
     for plan in PLANS:
         print(f"{plan.name}: {sum(plan.slots)} slots")
         for load in LOADS:
             for name, adapt in VERSIONS.items():
-                row(plan, load, name, adapt, seconds)
+                print_row(plan, load, name, adapt, seconds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_flows.py
+++ b/benchmarks/bench_flows.py
@@ -1,4 +1,4 @@
-"""Broken flows by planned change, ours beside two naive versions.
+"""Broken flows by planned change, compared with two baselines.
 
 python benchmarks/bench_flows.py [SEEDS]
 """
@@ -28,8 +28,8 @@
     return broken
 
 
-def many_at_once(seeds):
-    """Prints how many seeds of random overlapping changes break a flow."""
+def print_overlapping_changes(seeds):
+    """Prints for how many seeds random overlapping changes break a flow."""
     for version, adapt in VERSIONS.items():
         broken = collections.Counter()
         bad = 0
@@ -59,7 +59,7 @@
             share = sum(broken.values()) / total
             causes = dict(sorted(broken.items()))
             print(f"  {name:18} {version:16} {share:6.2%} {causes}")
-    many_at_once(RANDOM_SEEDS)
+    print_overlapping_changes(RANDOM_SEEDS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_logging.py
+++ b/benchmarks/bench_logging.py
@@ -1,10 +1,11 @@
-"""What a log line costs.
+"""Cost of a log line.
 
     python benchmarks/bench_logging.py
 
-Processor time and bytes of a line as the daemons write it, beside what a
-balancer takes to place a flow without writing, and what the budget of lines a
-second comes to. Written to a file, so that the kernel's part is in it.
+Prints the processor time and bytes of a line as the daemons write it, compared
+with the time a balancer takes to place a flow without logging, and the cost of
+the permitted number of lines per second. Lines are written to a file, so that
+the time in the kernel is included.
 """
 
 import os
@@ -21,8 +22,8 @@
 ROUNDS = 7
 
 
-def write_lines(fd):
-    """Returns the processor time and the bytes of a line."""
+def measure_line(fd):
+    """Returns the processor time and the size of a line."""
     now = [0.0]
 
     def clock():
@@ -49,8 +50,8 @@
     return took / LINES, os.fstat(fd).st_size / LINES
 
 
-def place_flows():
-    """Returns the processor time of placing a flow, its decision kept."""
+def measure_placement():
+    """Returns the processor time to place a flow and record the decision."""
     node = make_balancer("a", crafting.CODEC, "seed")
     node.fleet.on_table(crafting.table(), 1)
     entries = [(crafting.entry(n), 1) for n in range(1, 8)]
@@ -71,8 +72,8 @@
     lines, flows = [], []
     for _ in range(ROUNDS):
         with tempfile.TemporaryFile() as file:
-            lines.append(write_lines(file.fileno()))
-        flows.append(place_flows())
+            lines.append(measure_line(file.fileno()))
+        flows.append(measure_placement())
     line_s = statistics.median(item[0] for item in lines)
     size = statistics.median(item[1] for item in lines)
     flow_s = statistics.median(flows)
--- a/benchmarks/bench_once.py
+++ b/benchmarks/bench_once.py
@@ -1,9 +1,9 @@
-"""At most once: how many seeded fault storms break each version, and the cost.
+"""Violations of at-most-once execution under faults, and the cost of claims.
 
     python benchmarks/bench_once.py [SEEDS]
 
-The naive version has no witnesses; "one witness" asks only the first. The
-storm brings a fault every 0.8 s, the bad day one every 6 s.
+The baseline "naive" has no witnesses; "one witness" asks only the first. The
+storm injects a fault every 0.8 s, the bad day one every 6 s.
 """
 
 import collections
@@ -21,13 +21,13 @@
 KINDS = ("GrantRequest", "GrantReply")
 VERSIONS = {
     "naive": baselines.without_memory,
-    "one witness": baselines.home_alone,
+    "one witness": baselines.single_witness,
     "two of three": None,
 }
 
 
-def storm(name, adapt, gap_s, seeds):
-    """Prints how one version does under faults."""
+def print_violations(name, adapt, gap_s, seeds):
+    """Prints the violations and results of one version under faults."""
     broken = 0
     results = collections.Counter()
     for seed in range(seeds):
@@ -42,8 +42,8 @@
     print(f"  {name:13} broken {broken}/{seeds}: {shares}")
 
 
-def steady(name, adapt, dead):
-    """Prints the cost of one version, with one host dead if asked."""
+def print_cost(name, adapt, dead):
+    """Prints the cost of one version, optionally with one host killed."""
     world = World(random.Random(7), count_bytes=True, adapt=adapt)
     configuration = build_world(
         world, (chaos.PLAN,), memory_s=chaos.MEMORY_S, service_s=0.01
@@ -75,7 +75,7 @@
 
 
 def main():
-    """Runs every part."""
+    """Runs every version under faults, then measures its cost."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
     for title, gap_s in (
         ("storm", chaos.STORM_GAP_S),
@@ -83,11 +83,11 @@
     ):
         print(f"{title}: {seeds} seeds, a fault every {gap_s} s")
         for name, adapt in VERSIONS.items():
-            storm(name, adapt, gap_s, seeds)
+            print_violations(name, adapt, gap_s, seeds)
     for dead in (False, True):
         print("cost, one host dead:" if dead else "cost, all alive:")
         for name, adapt in VERSIONS.items():
-            steady(name, adapt, dead)
+            print_cost(name, adapt, dead)
 
 
 if __name__ == "__main__":
--- a/notchhoist/testing/baselines.py
+++ b/notchhoist/testing/baselines.py
@@ -1,4 +1,7 @@
-"""Naive versions that the decisions are held against."""
+"""Baselines: simpler versions that the decisions are compared with.
+
+Each function here changes a node at its start so that it uses a baseline.
+"""
 
 from collections.abc import Callable
 
@@ -16,18 +19,18 @@
 
 
 @attrs.define
-class NoMemory(ClaimCoordinator):
-    """Wins every claim at once: nothing but retransmissions is recognized."""
+class AlwaysGrantedClaims(ClaimCoordinator):
+    """Grants every claim at once: only retransmissions are recognized."""
 
     def start(self, run: Run, purpose: model.Purpose, now: float) -> None:
-        """Settles a claim without asking anybody."""
+        """Settles a claim as won without asking a witness."""
         state = ClaimState(run, 0, purpose, parts.Claim(()), now, now)
         self.on_settled(state, True, now)
 
 
 @attrs.define
-class HomeAlone(ClaimCoordinator):
-    """Asks only the first witness: simple, and it fails by refusing."""
+class SingleWitnessClaims(ClaimCoordinator):
+    """Asks only the first witness; refuses requests while it is unreachable."""
 
     def witness_sets(
         self, identity: bytes
@@ -37,8 +40,10 @@
         return tuple(group[:1] for group in sets)
 
 
-def use_claims(node: controllers.Node, kind: type[ClaimCoordinator]) -> None:
-    """Gives an agent another way to claim."""
+def replace_claims(
+    node: controllers.Node, kind: type[ClaimCoordinator]
+) -> None:
+    """Replaces the claim coordinator of an agent."""
     if not isinstance(node, controllers.AgentNode):
         return
     claims = kind(node.board, node.claims.rng)
@@ -48,27 +53,27 @@
 
 
 def without_memory(node: controllers.Node) -> None:
-    """The naive version: no witnesses."""
-    use_claims(node, NoMemory)
+    """Baseline without witnesses."""
+    replace_claims(node, AlwaysGrantedClaims)
 
 
-def home_alone(node: controllers.Node) -> None:
-    """The simpler version: one witness, the home of the identity."""
-    use_claims(node, HomeAlone)
+def single_witness(node: controllers.Node) -> None:
+    """Baseline with one witness, the first one of the identity."""
+    replace_claims(node, SingleWitnessClaims)
 
 
 @attrs.define
 class PlainRendezvous(FlowForwarder):
-    """Sends every datagram to the first agent of the present set."""
+    """Sends every datagram to the first agent by rendezvous hashing."""
 
     def forward(self, event: model.CallerDatagram) -> model.Forward:
-        """Tells the agent to take the flow, whoever has it."""
+        """Makes the agent take the flow, even if another agent owns it."""
         return attrs.evolve(super().forward(event), placed=True)
 
     def route(
         self, service: model.Service, caller: model.Endpoint
     ) -> model.Endpoint:
-        """Ranks the present set and looks no further."""
+        """Returns the first of the current agents in rendezvous order."""
         key = parts.flow_hash_key(caller)
         return parts.rank_nodes(key, service.agents())[0]
 
@@ -80,49 +85,53 @@
     def route(
         self, service: model.Service, caller: model.Endpoint
     ) -> model.Endpoint:
-        """Looks the flow up in the table of the present set."""
+        """Returns the agent at the flow's hash in the current set."""
         agents = service.agents()
         digest = xxhash.xxh3_64_intdigest(parts.flow_hash_key(caller))
         return agents[digest % len(agents)]
 
 
 @attrs.define
-class StayingMover(FlowMover):
-    """Moves no flow: without a directory nobody would find it."""
+class DisabledFlowMover(FlowMover):
+    """Moves no flow: without a directory, no balancer would find it."""
 
     def move_stream(self, run: Run, now: float) -> bool:
-        """Lets the stream stay or be refused."""
+        """Leaves the stream where it is, also if it is refused there."""
         return False
 
     def move_upload(self, run: Run, now: float) -> bool:
-        """Lets the upload stay."""
+        """Leaves the upload where it is."""
         return False
 
 
-def use_forwarder(node: controllers.Node, kind: type[FlowForwarder]) -> None:
-    """Gives a balancer another way to route, and lets agents move nothing."""
+def replace_forwarder(
+    node: controllers.Node, kind: type[FlowForwarder]
+) -> None:
+    """Replaces the forwarder of a balancer, and the flow mover of an agent."""
     if isinstance(node, controllers.BalancerNode):
         node.forwarder = kind(node.board, node.forwarder.rng)
     elif isinstance(node, controllers.AgentNode):
-        node.runs.moves = StayingMover(node.board, node.loads, node.flows)
+        node.runs.moves = DisabledFlowMover(node.board, node.loads, node.flows)
 
 
 def plain_rendezvous(node: controllers.Node) -> None:
-    """The naive version: rendezvous hashing without a directory."""
-    use_forwarder(node, PlainRendezvous)
+    """Baseline that uses rendezvous hashing without a directory."""
+    replace_forwarder(node, PlainRendezvous)
 
 
 def modulo_table(node: controllers.Node) -> None:
-    """The naive version: a table by hash modulo the host count."""
-    use_forwarder(node, ModuloTable)
+    """Baseline that uses the hash modulo the number of agents."""
+    replace_forwarder(node, ModuloTable)
 
 
 @attrs.define
-class BlindPlacement(RunDispatcher):
-    """Places each request at an agent chosen without a look at loads."""
+class RandomPlacement(RunDispatcher):
+    """Places each request at a random agent, regardless of load."""
 
-    turn: int = 0
-    give: Callable[[Run, model.Endpoint, float], None] = attrs.field(init=False)
+    position: int = 0
+    place_at: Callable[[Run, model.Endpoint, float], None] = attrs.field(
+        init=False
+    )
 
     def dispatch(self, run: Run, now: float) -> None:
         """Runs or queues the request at the chosen agent."""
@@ -136,24 +145,24 @@
         if chosen == self.board.identity.peer:
             self.enter_or_queue(run, True, now)
         else:
-            self.give(run, chosen, now)
+            self.place_at(run, chosen, now)
 
     def placeable(self, now: float) -> list[model.Endpoint]:
-        """Returns the agents that are alive and not leaving."""
+        """Returns the agents that are alive and not draining."""
         candidates = self.loads.flow_candidates(now)
         return sorted(candidate.agent for candidate in candidates)
 
     def choose(self, agents: list[model.Endpoint]) -> model.Endpoint:
-        """Chooses at random."""
+        """Chooses an agent at random."""
         return self.claims.rng.choice(agents)
 
 
 @attrs.define
-class BudgetedRuns(RunDispatcher):
-    """Retries within a budget that successes fund.
+class BudgetedDispatcher(RunDispatcher):
+    """Retries only within a budget that successes replenish.
 
     Attributes:
-        budget: The budget of this agent.
+        budget: Retry budget of this agent.
     """
 
     budget: RetryBudget = attrs.Factory(RetryBudget)
@@ -165,13 +174,13 @@
         response: wire.CoapMessage | None,
         now: float,
     ) -> None:
-        """Lets a success fund the budget."""
+        """Adds to the budget for each success."""
         if response is not None:
             self.budget.deposit(now)
         super().finish(run, status, response, now)
 
     def retry(self, run: Run, now: float) -> None:
-        """Retries if the budget allows, else gives the request up."""
+        """Retries within the budget, else ends the request as timed out."""
         if self.budget.try_spend(now):
             super().retry(run, now)
             return
@@ -181,29 +190,29 @@
 
 
 @attrs.define
-class ImpatientRuns(BudgetedRuns):
-    """Gives every try up after a third of the deadline."""
+class EarlyTimeoutDispatcher(BudgetedDispatcher):
+    """Ends every execution after a third of the time to the deadline."""
 
     def is_faster_elsewhere(self, run: Run, now: float) -> bool:
-        """Looks at the deadline only."""
+        """Returns whether a third of the time to the deadline has passed."""
         whole = run.deadline - run.arrived_at
         return now - run.started_at > whole / 3
 
 
 @attrs.define
-class TurnPlacement(BlindPlacement):
-    """Places requests round robin."""
+class RoundRobinPlacement(RandomPlacement):
+    """Places requests at the agents in round-robin order."""
 
     def choose(self, agents: list[model.Endpoint]) -> model.Endpoint:
-        """Chooses the next in turn."""
-        self.turn += 1
-        return agents[self.turn % len(agents)]
+        """Chooses the next agent in order."""
+        self.position += 1
+        return agents[self.position % len(agents)]
 
 
-def use_runs(
+def replace_dispatcher(
     node: controllers.Node, kind: type[RunDispatcher]
 ) -> RunDispatcher:
-    """Gives an agent another way to place, run and retry requests."""
+    """Replaces the dispatcher that places, runs and retries requests."""
     if not isinstance(node, controllers.AgentNode):
         raise TypeError("only agents run requests")
     old = node.runs
@@ -224,35 +233,35 @@
     runs.delegate = delegations.delegate
     runs.delegate_continuation = delegations.delegate_continuation
     runs.ask_outcome = delegations.ask_outcome
-    if isinstance(runs, BlindPlacement):
-        runs.give = lambda run, agent, now: delegations.delegate_to(
+    if isinstance(runs, RandomPlacement):
+        runs.place_at = lambda run, agent, now: delegations.delegate_to(
             run, agent, True, now
         )
     return runs
 
 
 def random_placement(node: controllers.Node) -> None:
-    """The naive version: each request at a random agent."""
+    """Baseline that places each request at a random agent."""
     if isinstance(node, controllers.AgentNode):
-        use_runs(node, BlindPlacement)
+        replace_dispatcher(node, RandomPlacement)
 
 
 def round_robin(node: controllers.Node) -> None:
-    """The naive version: requests at the agents in turn."""
+    """Baseline that places requests in round-robin order."""
     if isinstance(node, controllers.AgentNode):
-        use_runs(node, TurnPlacement)
+        replace_dispatcher(node, RoundRobinPlacement)
 
 
-def budgeted(
-    kind: type[BudgetedRuns], floor_per_s: float
+def with_retry_budget(
+    kind: type[BudgetedDispatcher], floor_per_s: float
 ) -> Callable[[controllers.Node], None]:
-    """Returns what gives agents a retry budget of a certain floor."""
+    """Returns a function that gives agents a retry budget with a floor rate."""
 
     def adapt(node: controllers.Node) -> None:
         if not isinstance(node, controllers.AgentNode):
             return
-        runs = use_runs(node, kind)
-        if isinstance(runs, BudgetedRuns):
+        runs = replace_dispatcher(node, kind)
+        if isinstance(runs, BudgetedDispatcher):
             runs.budget = RetryBudget(floor_per_s=floor_per_s)
 
     return adapt
--- a/notchhoist/testing/main_job.py
+++ b/notchhoist/testing/main_job.py
@@ -1,9 +1,9 @@
-"""The main job: both deployments of the brief, in small, as real processes.
+"""End-to-end test of two small deployments that run as real processes.
 
-``python -m notchhoist.testing.main_job`` brings up the platform, fabric,
-backend servers, agents and balancers on loopback, lets callers book, read,
-upload and follow streams with every packet sprayed, prints what came of it,
-and ends with status 0 only when every check held.
+``python -m notchhoist.testing.main_job`` starts the platform, fabric, backend
+servers, agents and balancers on loopback. Callers book, read, upload and follow
+streams; the fabric sends each packet to a random balancer. The job prints the
+figures of each service and exits with status 0 only if every check holds.
 """
 
 import collections
@@ -39,13 +39,13 @@
 PERCENTILES = (50.0, 90.0, 99.0)
 
 
-def small(plan: ServicePlan, servers: int) -> ServicePlan:
+def with_fewer_servers(plan: ServicePlan, servers: int) -> ServicePlan:
     """Returns a plan with fewer backend servers."""
     return attrs.evolve(plan, slots=plan.slots[:servers])
 
 
 def booking_tasks(caller: int) -> list[Task]:
-    """Returns the tasks of a conductor: bookings and roster feeds."""
+    """Returns the tasks of a conductor: bookings and roster reads."""
     tasks = []
     for turn in range(5):
         name = f"h{caller:02}{turn}"
@@ -70,7 +70,7 @@
 
 
 def feed_tasks(caller: int) -> list[Task]:
-    """Returns the tasks of a field unit: a stream, or check-ins."""
+    """Returns the tasks of a field unit: one stream, or several check-ins."""
     if caller % 2:
         name = f"f{caller:02}"
         return [Task("feed", "GET", "feed-hub", name, Mode.STREAM, size=12)]
@@ -81,7 +81,7 @@
 
 
 def bundle_tasks(caller: int) -> list[Task]:
-    """Returns the tasks of a field unit that brings its bundle."""
+    """Returns the tasks of a field unit that uploads its bundle."""
     return [
         Task(
             "bundle",
@@ -109,12 +109,18 @@
             Deployment(
                 Path(folder, "one"),
                 1,
-                (small(HALLBOOK, 3), small(SCOREDROP, 2)),
+                (
+                    with_fewer_servers(HALLBOOK, 3),
+                    with_fewer_servers(SCOREDROP, 2),
+                ),
             ),
             Deployment(
                 Path(folder, "two"),
                 2,
-                (small(FEED_HUB, 3), small(ARCHIVE_INTAKE, 2)),
+                (
+                    with_fewer_servers(FEED_HUB, 3),
+                    with_fewer_servers(ARCHIVE_INTAKE, 2),
+                ),
             ),
         ]
         try:
@@ -131,7 +137,7 @@
 
 
 async def run(deployments: Sequence[Deployment]) -> list[str]:
-    """Brings the deployments up and lets the callers do their tasks."""
+    """Starts the deployments, runs the callers and returns the problems."""
     for deployment in deployments:
         deployment.start()
     lagging = await wait_ready(deployments)
@@ -152,19 +158,20 @@
     """Waits until every daemon is ready and witnesses no longer abstain.
 
     Args:
-        deployments: What has been started.
+        deployments: Deployments that have been started.
 
     Returns:
-        The hosts that were not ready in time.
+        The hosts that are not ready within ``READY_LIMIT_S``; empty if all
+        are.
     """
-    until = anyio.current_time() + READY_LIMIT_S
+    deadline = anyio.current_time() + READY_LIMIT_S
     while True:
         lagging = [host for item in deployments for host in item.lagging()]
         if not lagging:
             memory_s = max(item.memory_s for item in deployments)
             await anyio.sleep(memory_s + SETTLE_S)
             return []
-        if anyio.current_time() > until:
+        if anyio.current_time() > deadline:
             return lagging
         await anyio.sleep(POLL_S)
 
@@ -178,7 +185,7 @@
 
 
 def report(deployments: Sequence[Deployment]) -> list[str]:
-    """Prints the figures of every service; returns what did not hold."""
+    """Prints the figures of every service; returns the failed checks."""
     problems = []
     for deployment in deployments:
         for plan in deployment.plans:
@@ -187,32 +194,34 @@
 
 
 def report_service(deployment: Deployment, plan: ServicePlan) -> list[str]:
-    """Prints the figures of one service; returns what did not hold."""
-    path = deployment.report_of(f"callers-{plan.name}")
+    """Prints the figures of one service; returns the failed checks."""
+    path = deployment.report_path(f"callers-{plan.name}")
     if not path.exists():
         return [f"{plan.name}: no report of its callers"]
-    history = load(path, History)
+    history = read_report(path, History)
     servers = [
-        load(deployment.report_of(f"{plan.name}-{place + 1}"), BackendReport)
+        read_report(
+            deployment.report_path(f"{plan.name}-{place + 1}"), BackendReport
+        )
         for place in range(len(plan.slots))
     ]
     for server in servers:
         history.started.extend(server.history.started)
         history.misdirected.extend(server.history.misdirected)
     print_service(plan, history, servers)
-    return problems_of(plan, history, servers)
+    return failed_checks(plan, history, servers)
 
 
 T = TypeVar("T")
 
 
-def load(path: Path, wanted: type[T]) -> T:
-    """Reads a report."""
+def read_report(path: Path, wanted: type[T]) -> T:
+    """Reads a report file as an instance of a class."""
     return documents.structure(orjson.loads(path.read_bytes()), wanted).unwrap()
 
 
 def imbalance(servers: Sequence[BackendReport]) -> float:
-    """Returns max over mean of slot occupancy."""
+    """Returns the maximum over the mean of slot utilization."""
     taken = [server.busy_s / server.slots for server in servers]
     mean = sum(taken) / len(taken)
     return max(taken) / mean if mean else 1.0
@@ -224,18 +233,21 @@
     """Prints the figures of one service."""
     results = collections.Counter(item.result.value for item in history.told)
     print(f"{plan.name}: {len(history.told)} requests, {dict(results)}")
-    print(f"  own answers {count_own(history)}, broken {dict(history.broken)}")
+    print(
+        f"  own answers {count_matching_answers(history)}, "
+        f"broken {dict(history.broken)}"
+    )
     print(f"  imbalance {imbalance(servers):.2f} (max over mean)")
     for kind in sorted({item.kind for item in history.told}):
         told = [item for item in history.told if item.kind == kind]
-        print(f"  {kind}: {len(told)}, {latencies_of(told)}")
+        print(f"  {kind}: {len(told)}, {latency_text(told)}")
 
 
-def latencies_of(told: Sequence[Told]) -> str:
-    """Returns percentiles of the time from the first packet to the last answer.
+def latency_text(told: Sequence[Told]) -> str:
+    """Returns percentiles of the time from first packet to final answer.
 
     Examples:
-        >>> latencies_of([Told(0, "s", "r", Result.ANSWERED, "r", 0.05, "k")])
+        >>> latency_text([Told(0, "s", "r", Result.ANSWERED, "r", 0.05, "k")])
         'p50 50 ms p90 50 ms p99 50 ms'
     """
     histogram = HdrHistogram(1, MAX_LATENCY_US, 2)
@@ -248,18 +260,18 @@
     )
 
 
-def count_own(history: History) -> int:
-    """Returns how many answers were the answer to their own request."""
+def count_matching_answers(history: History) -> int:
+    """Counts the answers that belong to the request they were sent for."""
     return sum(
         item.result is Result.ANSWERED and item.request in item.payload
         for item in history.told
     )
 
 
-def problems_of(
+def failed_checks(
     plan: ServicePlan, history: History, servers: Sequence[BackendReport]
 ) -> list[str]:
-    """Returns what did not hold for one service."""
+    """Returns the failed checks of one service."""
     violations: list[Violation] = history.check()
     problems = [f"{plan.name}: {item}" for item in violations]
     problems += [
--- a/notchhoist/testing/rehearsal.py
+++ b/notchhoist/testing/rehearsal.py
@@ -1,8 +1,8 @@
-"""A rehearsal night: more work than slots, of several kinds, on odd servers.
+"""Load test of one service in the simulated network, with faulty servers.
 
-Callers arrive at random (Poisson) at a multiple of the service's capacity.
-One server starts cold, one sheds, and one lies about its load. Policies that
-place requests are run on the same arrivals.
+Callers arrive as a Poisson process at a multiple of the service's capacity.
+One server starts cold, one sheds requests, and one reports a false load.
+Different placement policies can be run on the same arrivals.
 """
 
 import collections
@@ -30,18 +30,19 @@
 
 
 @attrs.define
-class Night:
-    """Figures of one night.
+class LoadTestFigures:
+    """Figures of one load test.
 
     Attributes:
-        answered: Answers by kind.
-        refused: Refusals by kind.
-        unknown: Requests with an unknown outcome by kind.
+        answered: Number of answers by kind.
+        refused: Number of refusals by kind.
+        unknown: Number of requests with an unknown outcome by kind.
         latencies: Latency of answers by kind, microseconds.
         refusal_latencies: Time to a refusal, microseconds.
-        imbalance: Mean over time of max over mean of slot occupancy.
-        over: Times that a server held more than its slots.
-        violations: Broken promises.
+        imbalance: Maximum over mean of slot utilization, averaged over time.
+        over: Number of samples in which a server ran more requests than it
+            has slots.
+        violations: Number of broken guarantees.
     """
 
     answered: collections.Counter[str] = attrs.Factory(collections.Counter)
@@ -55,8 +56,8 @@
     over: int = 0
     violations: int = 0
 
-    def p(self, kind: str, percentile: float) -> float:
-        """Returns a latency percentile of a kind, milliseconds."""
+    def latency_ms(self, kind: str, percentile: float) -> float:
+        """Returns a latency percentile of a kind in milliseconds."""
         histogram = self.latencies.get(kind)
         if histogram is None:
             return 0.0
@@ -70,16 +71,17 @@
     seed: int,
     adapt: Adapt | None = None,
     odd: bool = True,
-) -> Night:
-    """Runs a night and returns its figures.
+) -> LoadTestFigures:
+    """Runs a load test and returns its figures.
 
     Args:
-        plan: The service.
-        load: Arrivals as a multiple of capacity.
-        seconds: How long callers arrive.
-        seed: Seed of everything.
-        adapt: Changes each node at its start.
-        odd: One server starts cold, one sheds, one lies about its load.
+        plan: Plan of the service.
+        load: Arrival rate as a multiple of capacity.
+        seconds: How long callers arrive, seconds.
+        seed: Seed of all random numbers.
+        adapt: Called with each node at its start, to change it.
+        odd: Whether one server starts cold, one sheds requests and one
+            reports a false load.
 
     Returns:
         The figures.
@@ -93,30 +95,30 @@
     trust_first_start(world)
     world.run(2.0)
     if odd:
-        _make_odd(world)
-    arrive(world, plan, load, seconds)
-    night = Night()
-    _sample(world, night, seconds)
+        _make_servers_faulty(world)
+    schedule_arrivals(world, plan, load, seconds)
+    figures = LoadTestFigures()
+    _record_imbalance(world, figures, seconds)
     world.run_until(world.callers_done, 70.0)
-    _collect(world, night)
-    return night
+    _collect(world, figures)
+    return figures
 
 
-def _make_odd(world: World) -> None:
+def _make_servers_faulty(world: World) -> None:
     backends = list(world.backends.values())
     cold, shedding = backends[0], backends[1]
     cold.profile = attrs.evolve(cold.profile, cold_s=COLD_S)
     cold.started_at = world.now
     profile = attrs.evolve(shedding.profile, shed_every=SHED_EVERY)
     shedding.profile = profile
-    lying = backends[2]
-    lying.profile = attrs.evolve(lying.profile, load_lie=0.0)
+    misreporting = backends[2]
+    misreporting.profile = attrs.evolve(misreporting.profile, load_lie=0.0)
 
 
-def arrive(
+def schedule_arrivals(
     world: World, plan: ServicePlan, load: float, seconds: float
 ) -> None:
-    """Lets callers with one request each arrive at random."""
+    """Schedules callers with one request each as a Poisson process."""
     rate = load * sum(plan.slots) / SERVICE_S
     at = 0.0
     number = 0
@@ -133,50 +135,52 @@
 def _caller(
     world: World, endpoint: model.Endpoint, task: Task
 ) -> Callable[[], None]:
-    return lambda: void(world.add_caller(endpoint, [task]))
+    return lambda: discard_result(world.add_caller(endpoint, [task]))
 
 
-def void(_: object) -> None:
-    """Does nothing with a value."""
+def discard_result(_: object) -> None:
+    """Discards the result of a call, for callbacks that return None."""
 
 
-def _sample(world: World, night: Night, seconds: float) -> None:
-    ratios = []
+def _record_imbalance(
+    world: World, figures: LoadTestFigures, seconds: float
+) -> None:
+    imbalances = []
     until = world.now + seconds
     while world.now < until:
         world.run(SAMPLE_S)
-        ratios.append(_ratio(world, night))
-    settled = ratios[len(ratios) // 5 :]
-    night.imbalance = sum(settled) / len(settled)
+        imbalances.append(_sample_imbalance(world, figures))
+    steady = imbalances[len(imbalances) // 5 :]
+    figures.imbalance = sum(steady) / len(steady)
 
 
-def _ratio(world: World, night: Night) -> float:
+def _sample_imbalance(world: World, figures: LoadTestFigures) -> float:
     taken = []
     for backend in world.backends.values():
         slots = backend.profile.slots
-        night.over += len(backend.in_progress) > slots
+        figures.over += len(backend.in_progress) > slots
         taken.append(len(backend.in_progress) / slots)
     mean = sum(taken) / len(taken)
     return max(taken) / mean if mean else 1.0
 
 
-def _collect(world: World, night: Night) -> None:
+def _collect(world: World, figures: LoadTestFigures) -> None:
     for item in world.history.told:
         if item.result is Result.ANSWERED:
-            night.answered[item.kind] += 1
-            histogram = night.latencies.setdefault(
+            figures.answered[item.kind] += 1
+            histogram = figures.latencies.setdefault(
                 item.kind, HdrHistogram(1, MAX_LATENCY_US, 2)
             )
             histogram.record_value(max(1, int(item.latency_s * 1e6)))
         elif item.result in (Result.BUSY, Result.NOT_RUN):
-            night.refused[item.kind] += 1
+            figures.refused[item.kind] += 1
             latency = max(1, int(item.latency_s * 1e6))
-            night.refusal_latencies.record_value(latency)
+            figures.refusal_latencies.record_value(latency)
         else:
-            night.unknown[item.kind] += 1
-    night.violations = len(world.history.check())
+            figures.unknown[item.kind] += 1
+    figures.violations = len(world.history.check())
 
 
-def kinds_of(plan: ServicePlan) -> Sequence[str]:
+def kind_names(plan: ServicePlan) -> Sequence[str]:
     """Returns the names of a plan's kinds."""
     return [kind.name for kind in plan.kinds]
