--- a/notchhoist/testing/opaque/changes.py
+++ b/notchhoist/testing/opaque/changes.py
@@ -1,7 +1,7 @@
-"""Random long days with hundreds of changes of the configuration.
+"""Random long runs with hundreds of configuration changes.
 
-Balancers are cut off from the store and from each other, killed and frozen;
-routes come, go and come back.
+Balancers are cut off from the store and from each other, killed and frozen.
+Routes are added, removed and added again.
 
 python -m notchhoist.testing.opaque.changes --seed 1 --count 20
 """
@@ -24,56 +24,60 @@
 
 ZONES = ("a", "b", "c")
 BALANCERS = 6
-LOSS = 0.01
-"""Share of datagrams that are lost in calm, and of answers sent again."""
+LOSS_SHARE = 0.01
+"""Share of datagrams lost without any trouble, and of store responses that
+are sent again."""
 
 CALM_S = 6.0
-"""Time until the first trouble, and after the last one, seconds."""
+"""Time without troubles at the start and at the end of a run, seconds."""
 
-GAPS_S = (0.1, 0.6)
+CHANGE_INTERVAL_S = (0.1, 0.6)
 """Bounds of the time between two changes, seconds."""
 
-TROUBLE_GAPS_S = (0.5, 6.0)
-TROUBLE_LASTS_S = (0.5, 12.0)
+TROUBLE_INTERVAL_S = (0.5, 6.0)
+TROUBLE_DURATION_S = (0.5, 12.0)
 SPARE_ROUTES = 6
 FIRST_SPARE_PORT = 20_000
 
 
 @attrs.define(eq=False)
-class Day:
-    """One random day.
+class RandomRun:
+    """One random run.
 
     Attributes:
-        world: The world.
-        rng: Source of every draw about the day.
-        judge: Looks at the balancers.
-        ends_at: When the last change is made, seconds.
-        version: Newest version.
-        spare: Routes that come and go, those that are there.
-        timeout_ms: A figure that changes.
+        world: The simulated deployment.
+        rng: Source of every random draw about the run.
+        judge: Checks the configuration at the balancers.
+        last_change_at: No change is made after this time, seconds.
+        version: Newest version of the configuration.
+        spare_routes: Numbers of the optional routes that exist now.
+        timeout_ms: Timeout of the optional routes, which changes.
     """
 
     world: OpaqueWorld
     rng: random.Random
     judge: ConfigurationJudge
-    ends_at: float
+    last_change_at: float
     version: int = 0
-    spare: set[int] = attrs.Factory(set)
+    spare_routes: set[int] = attrs.Factory(set)
     timeout_ms: int = 1000
 
     def balancers(self) -> list[Host]:
-        """Returns the hosts of balancers."""
+        """Returns the hosts that run balancers."""
         return [host for host in self.world.hosts.values() if not host.service]
 
     def publish(self) -> None:
-        """Publishes the next configuration; versions rise in uneven steps."""
+        """Publishes the next configuration; versions rise in random steps."""
         self.version += self.rng.randint(1, 3)
-        workloads = [*WHANGANUI, *(self._spare_route(n) for n in self.spare)]
+        workloads = [
+            *WHANGANUI,
+            *(self._spare_route(n) for n in self.spare_routes),
+        ]
         document = published.configuration_of(self.version, workloads)
         self.judge.publish(document)
 
     def _spare_route(self, number: int) -> Workload:
-        """Returns a route whose figures change from day to day."""
+        """Returns an optional route with the current timeout."""
         port = FIRST_SPARE_PORT + number
         return attrs.evolve(
             WHANGANUI[0],
@@ -83,28 +87,28 @@
         )
 
     def change(self) -> None:
-        """Changes something, and comes back for the next change."""
-        if self.world.now > self.ends_at:
+        """Makes one change and schedules the next one."""
+        if self.world.now > self.last_change_at:
             return
         if self.rng.random() < 0.2:
             self.timeout_ms = self.rng.choice([1000, 2000])
         else:
-            self.spare ^= {self.rng.randrange(SPARE_ROUTES)}
+            self.spare_routes ^= {self.rng.randrange(SPARE_ROUTES)}
         self.publish()
-        self.world.later(self.rng.uniform(*GAPS_S), self.change)
+        self.world.later(self.rng.uniform(*CHANGE_INTERVAL_S), self.change)
 
     def trouble(self) -> None:
-        """Brings one trouble about, and comes back for the next one."""
-        if self.world.now > self.ends_at - CALM_S:
+        """Injects one trouble and schedules the next one."""
+        if self.world.now > self.last_change_at - CALM_S:
             return
-        for_s = self.rng.uniform(*TROUBLE_LASTS_S)
+        for_s = self.rng.uniform(*TROUBLE_DURATION_S)
         host = self.rng.choice(self.balancers())
         kinds: list[Callable[[Host, float], None]] = [
-            *(self.cut_store, self.cut_readers, self.cut_hosts),
-            *(self.kill, self.freeze, self.forget),
+            *(self.cut_store, self.cut_readers, self.cut_peers),
+            *(self.kill, self.freeze, self.compact_store),
         ]
         self.rng.choice(kinds)(host, for_s)
-        self.world.later(self.rng.uniform(*TROUBLE_GAPS_S), self.trouble)
+        self.world.later(self.rng.uniform(*TROUBLE_INTERVAL_S), self.trouble)
 
     # Troubles.
 
@@ -114,12 +118,12 @@
         troubles.cut(self.world, host.ip, host.ip, for_s)
 
     def cut_readers(self, _: Host, for_s: float) -> None:
-        """Cuts those off from the store that read it now."""
+        """Cuts the balancers that read the store off from it."""
         for host in self.readers():
             self.cut_store(host, for_s)
 
     def readers(self) -> list[Host]:
-        """Returns the balancers that read the store."""
+        """Returns the balancers that read the store now."""
         return [
             host
             for host in self.balancers()
@@ -127,81 +131,83 @@
             and host.node.synchronizer.membership.is_reader(self.world.now)
         ]
 
-    def cut_hosts(self, host: Host, for_s: float) -> None:
-        """Cuts a balancer off from all others; it reaches the store."""
+    def cut_peers(self, host: Host, for_s: float) -> None:
+        """Cuts a balancer off from all others, but not from the store."""
         for other in self.balancers():
             if other is not host:
                 troubles.cut(self.world, host.ip, other.ip, for_s)
         self.judge.disturb(host.ip, for_s)
 
     def kill(self, host: Host, for_s: float) -> None:
-        """Kills a process."""
+        """Kills a balancer."""
         self.judge.disturb(host.ip, for_s + START_S)
         troubles.kill(self.world, host, for_s)
 
     def freeze(self, host: Host, for_s: float) -> None:
-        """Lets a process stand still."""
+        """Freezes a balancer, unless it is down or frozen already."""
         if host.node is None or host.frozen:
             return
         self.judge.disturb(host.ip, for_s)
         troubles.freeze(self.world, host, for_s)
 
-    def forget(self, _: Host, __: float) -> None:
-        """Lets the store forget its history."""
+    def compact_store(self, _: Host, __: float) -> None:
+        """Compacts the store's history."""
         self.world.store.compact()
 
 
-def make_day(seed: int, seconds: float) -> Day:
-    """Makes a day without troubles; ``Day.trouble`` begins them.
+def make_run(seed: int, seconds: float) -> RandomRun:
+    """Makes a run without troubles; ``RandomRun.trouble`` starts them.
 
     Args:
-        seed: Seed of every draw.
+        seed: Seed of every random draw.
         seconds: Time until the last change, seconds.
     """
     world = OpaqueWorld(random.Random(seed), ZONES, WHANGANUI)
-    world.network.loss = LOSS
-    world.store.resent_share = LOSS
-    day = Day(world, random.Random(seed), ConfigurationJudge(world), seconds)
-    day.publish()
+    world.network.loss = LOSS_SHARE
+    world.store.resent_share = LOSS_SHARE
+    run = RandomRun(
+        world, random.Random(seed), ConfigurationJudge(world), seconds
+    )
+    run.publish()
     for number in range(BALANCERS):
         host = world.add_host(ZONES[number % len(ZONES)])
-        day.judge.disturb(host.ip)
+        run.judge.disturb(host.ip)
     for zone in ZONES:
         world.add_host(zone, WHANGANUI[0].service)
-    day.judge.start()
-    world.later(CALM_S, day.change)
-    return day
+    run.judge.start()
+    world.later(CALM_S, run.change)
+    return run
 
 
-def play(seed: int, seconds: float) -> Day:
-    """Plays a day with troubles of all kinds.
+def play(seed: int, seconds: float) -> RandomRun:
+    """Plays a run with troubles of all kinds.
 
     Args:
-        seed: Seed of every draw.
+        seed: Seed of every random draw.
         seconds: Time until the last change, seconds.
     """
-    day = make_day(seed, seconds)
-    day.world.later(CALM_S, day.trouble)
-    day.world.run_until(seconds + CALM_S)
-    return day
+    run = make_run(seed, seconds)
+    run.world.later(CALM_S, run.trouble)
+    run.world.run_until(seconds + CALM_S)
+    return run
 
 
 def play_without_readers(
-    seed: int, seconds: float, resent_share: float = LOSS
-) -> Day:
-    """Plays a day on which the readers are cut off from the store for long.
+    seed: int, seconds: float, resent_share: float = LOSS_SHARE
+) -> RandomRun:
+    """Plays a run whose readers are cut off from the store until its end.
 
     Args:
-        seed: Seed of every draw.
+        seed: Seed of every random draw.
         seconds: Time until the last change, seconds.
-        resent_share: Share of the store's answers that are sent again.
+        resent_share: Share of the store's responses that are sent again.
     """
-    day = make_day(seed, seconds)
-    day.world.store.resent_share = resent_share
-    cut = partial(day.cut_readers, day.balancers()[0], seconds)
-    day.world.later(CALM_S, cut)
-    day.world.run_until(seconds + CALM_S)
-    return day
+    run = make_run(seed, seconds)
+    run.world.store.resent_share = resent_share
+    cut = partial(run.cut_readers, run.balancers()[0], seconds)
+    run.world.later(CALM_S, cut)
+    run.world.run_until(seconds + CALM_S)
+    return run
 
 
 @cappa.command(name="changes", description="Plays long days of changes.")
@@ -223,17 +229,17 @@
 
 
 def main() -> int:
-    """Entry point; status 1 where something broke that must hold."""
+    """Entry point; returns 1 if a run broke a guarantee."""
     command = cappa.parse(Command)
     player = play_without_readers if command.readers else play
     broken = 0
     for seed in range(command.seed, command.seed + command.count):
-        day = player(seed, command.seconds)
-        faults = list(day.judge.broken.values())
+        run = player(seed, command.seconds)
+        faults = list(run.judge.broken.values())
         broken += bool(faults)
         print(
-            f"{seed}: {len(day.judge.published)} changes, oldest in calm"
-            f" {day.judge.oldest_s:.3f} s, {day.world.store.calls} calls,"
+            f"{seed}: {len(run.judge.published)} changes, oldest in calm"
+            f" {run.judge.oldest_s:.3f} s, {run.world.store.calls} calls,"
             f" {len(faults)} faults"
         )
         for fault in faults[:8]:
--- a/notchhoist/testing/opaque/experiment.py
+++ b/notchhoist/testing/opaque/experiment.py
@@ -1,4 +1,4 @@
-"""Plays one scenario on the stand-in and prints what came of it.
+"""Runs one scenario in the simulation and prints its outcome.
 
 python -m notchhoist.testing.opaque.experiment quiet --seconds 60
 """
@@ -21,7 +21,9 @@
 
 ZONES = ("war-memorial", "castlecliff", "aramoho", "gonville")
 SERVERS = {"hallbook": (2, 2, 2, 1), "scoredrop": (1, 1, 1, 1)}
-LEAD_S = 3.0
+WARM_UP_S = 3.0
+"""Time before the callers send their first requests, seconds."""
+
 TROUBLE_AT_S = 6.0
 
 
@@ -34,10 +36,10 @@
     cold_per_s: float = 0.0,
     uses: Mechanisms = ALL,
 ) -> OpaqueWorld:
-    """Makes the music trust's deployment, before any traffic.
+    """Makes the deployment of the music trust, without traffic.
 
     Args:
-        seed: Seed of every draw.
+        seed: Seed of every random draw.
         load: Factor on the usual rate of requests.
         steady: See ``OpaqueWorld``.
         link_mbps: See ``OpaqueWorld``.
@@ -68,19 +70,20 @@
 
 
 def start_traffic(world: OpaqueWorld, until: float) -> None:
-    """Lets the callers ask at random moments until a time."""
+    """Lets the callers send requests at random times until a time."""
 
-    def ask(workload: Workload) -> None:
+    def send_request(workload: Workload) -> None:
         if world.now >= until:
             return
         zone = world.rng.choice(list(world.zones))
         world.callers[zone].ask(workload, world.now)
         world.later(
-            world.rng.expovariate(workload.per_s), lambda: ask(workload)
+            world.rng.expovariate(workload.per_s),
+            lambda: send_request(workload),
         )
 
     for workload in world.workloads:
-        world.later(LEAD_S, partial(ask, workload))
+        world.later(WARM_UP_S, partial(send_request, workload))
 
 
 def play(
@@ -94,11 +97,11 @@
     cold_per_s: float = 0.0,
     uses: Mechanisms = ALL,
 ) -> OpaqueWorld:
-    """Plays a scenario.
+    """Runs a scenario and returns its world.
 
     Args:
         scenario: Name of the scenario.
-        seed: Seed of every draw.
+        seed: Seed of every random draw.
         seconds: Length of the traffic, seconds.
         load: Factor on the usual rate of requests.
         steady: See ``OpaqueWorld``.
@@ -108,10 +111,10 @@
         uses: See ``OpaqueWorld``.
     """
     world = make_world(seed, load, steady, link_mbps, paced, cold_per_s, uses)
-    start_traffic(world, LEAD_S + seconds)
+    start_traffic(world, WARM_UP_S + seconds)
     world.later(TROUBLE_AT_S, lambda: SCENARIOS[scenario](world))
-    longest = max(item.deadline_s for item in world.workloads)
-    world.run_until(LEAD_S + seconds + longest)
+    longest_deadline_s = max(item.deadline_s for item in world.workloads)
+    world.run_until(WARM_UP_S + seconds + longest_deadline_s)
     return world
 
 
@@ -149,7 +152,7 @@
 
 
 def main() -> int:
-    """Entry point; status 1 where something broke that must hold."""
+    """Entry point; returns 1 if the run broke a guarantee."""
     command = cappa.parse(Command)
     if command.scenario not in SCENARIOS:
         print(f"scenario: one of {', '.join(SCENARIOS)}", file=sys.stderr)
--- a/notchhoist/testing/opaque/page.py
+++ b/notchhoist/testing/opaque/page.py
@@ -1,4 +1,4 @@
-"""Draws records of runs side by side, as one page without any network.
+"""Draws records of runs side by side, as one self-contained HTML page.
 
 python -m notchhoist.testing.opaque.experiment power-off --save a.json
 python -m notchhoist.testing.opaque.page a.json b.json --output page.html
@@ -18,10 +18,11 @@
 HEIGHT = 180
 MARGIN = 30
 COLOURS = ("#1b6ca8", "#c8553d", "#588157", "#8d5a97", "#b08900")
-"""Lines, one after the other; told apart by most people who see few colours."""
+"""Colours of the lines, in order; most colour-blind people can tell them
+apart."""
 
 SHADE_S = 0.5
-"""Width of the shade behind a disruption, seconds."""
+"""Width of the band that marks a disruption, seconds."""
 
 STYLE = """
 body { font: 15px sans-serif; margin: 2em; color: #222; }
@@ -35,7 +36,7 @@
 
 @attrs.frozen
 class Scale:
-    """Where a second and a share lie in a picture.
+    """Maps seconds and shares to coordinates of a chart.
 
     Attributes:
         first: First second shown.
@@ -46,13 +47,13 @@
     last: float
 
     def x(self, second: float) -> float:
-        """Returns the place of a second."""
+        """Returns the x coordinate of a second."""
         span = max(1.0, self.last - self.first)
         part = (second - self.first) / span
         return round(MARGIN + part * (WIDTH - 2 * MARGIN), 1)
 
     def y(self, share: float) -> float:
-        """Returns the place of a share.
+        """Returns the y coordinate of a share.
 
         Examples:
             >>> Scale(0, 10).y(0.0), Scale(0, 10).y(1.0)
@@ -68,7 +69,7 @@
     return Scale(min(seconds, default=0), max(seconds, default=1))
 
 
-def _shades(record: Record, scale: Scale) -> str:
+def _disruption_marks(record: Record, scale: Scale) -> str:
     parts = []
     for at in record.disruptions:
         if not scale.first <= at <= scale.last:
@@ -99,12 +100,12 @@
     )
 
 
-def picture(series: dict[str, dict[int, float]], record: Record) -> str:
-    """Returns a picture of shares by second, disruptions shaded."""
+def chart(series: dict[str, dict[int, float]], record: Record) -> str:
+    """Returns an SVG chart of shares by second, with disruptions shaded."""
     scale = _scale(record)
     parts = [
         f'<svg width="{WIDTH}" height="{HEIGHT}" role="img">',
-        _shades(record, scale),
+        _disruption_marks(record, scale),
     ]
     parts += [
         _label(2, scale.y(share) + 4, f"{share:g}") for share in (0, 0.5, 1)
@@ -120,7 +121,7 @@
     return "".join([*parts, "</svg>"])
 
 
-def _facts(record: Record) -> str:
+def _summary(record: Record) -> str:
     rows = [
         ("worth", f"{record.worth:.3f}"),
         ("calls to the store", str(record.calls)),
@@ -139,7 +140,7 @@
 
 
 def page_text(records: list[Record]) -> str:
-    """Returns the page."""
+    """Returns the HTML page for some records."""
     runs = []
     for record in records:
         broken = "".join(
@@ -147,18 +148,18 @@
             for text in record.broken[:10]
         )
         runs.append(
-            f"<section><h2>{html.escape(record.title)}</h2>{_facts(record)}"
+            f"<section><h2>{html.escape(record.title)}</h2>{_summary(record)}"
             f"{broken}<h3>Worth by kind of request</h3>"
-            f"{picture(record.by_kind, record)}"
+            f"{chart(record.by_kind, record)}"
             f"<h3>Worth by availability zone</h3>"
-            f"{picture(record.by_zone, record)}</section>"
+            f"{chart(record.by_zone, record)}</section>"
         )
     return (
         '<!doctype html><html lang="en"><meta charset="utf-8">'
         f"<title>Runs</title><style>{STYLE}</style>"
-        "<h1>Runs on the stand-in</h1>"
-        "<p>Each point is one second of requests, by when they were asked; "
-        "shades show when something was disturbed.</p>"
+        "<h1>Simulated runs</h1>"
+        "<p>Each point covers the requests that were sent in one second; "
+        "shaded bands mark disruptions.</p>"
         f'<div class="runs">{"".join(runs)}</div></html>\n'
     )
 
@@ -178,7 +179,7 @@
 
 
 def main() -> int:
-    """Entry point; status 2 where a record cannot be read."""
+    """Entry point; returns 2 if a record cannot be read."""
     command = cappa.parse(Command)
     records = []
     for path in command.records:
--- a/notchhoist/testing/opaque/record.py
+++ b/notchhoist/testing/opaque/record.py
@@ -13,18 +13,18 @@
 
 @attrs.frozen
 class Record:
-    """What a run came to.
+    """The outcome of a run.
 
     Attributes:
-        title: Which run it was.
+        title: Scenario and seed, or another name of the run.
         worth: Credit earned as a share of the credit owed.
-        by_kind: The same by second, for each kind of request.
-        by_zone: The same by second, for each availability zone.
-        imbalance: Busiest server over the mean, by service.
-        calls: Calls to the store.
-        zone_mb: Bytes between zones, MB.
-        disruptions: When something was disturbed, seconds.
-        broken: What must not have happened.
+        by_kind: The same for each kind of request and second.
+        by_zone: The same for each availability zone and second.
+        imbalance: Requests of the busiest server over the mean, by service.
+        calls: Number of requests to the store.
+        zone_mb: Traffic between zones, MB.
+        disruptions: Times at which a fault was injected or ended, seconds.
+        broken: Broken guarantees.
     """
 
     title: str
@@ -39,19 +39,19 @@
 
 
 def worth_by_second(
-    endings: Iterable[Ending], credits: dict[str, Workload], name: str
+    endings: Iterable[Ending], workloads: dict[str, Workload], name: str
 ) -> dict[str, dict[int, float]]:
-    """Returns earned over owed by a field of the endings and by second.
+    """Returns earned over owed credit, by a field of the endings and second.
 
     Args:
         endings: How each request ended.
-        credits: Kinds of request by name.
+        workloads: Kinds of request by name.
         name: Field to group by, ``kind`` or ``zone``.
     """
     earned: dict[tuple[str, int], float] = defaultdict(float)
     owed: dict[tuple[str, int], float] = defaultdict(float)
     for ending in endings:
-        kind = credits[ending.kind]
+        kind = workloads[ending.kind]
         key = (getattr(ending, name), int(ending.asked_at))
         owed[key] += kind.worth
         if ending.outcome == "in_time":
@@ -65,7 +65,7 @@
 
 
 def make_record(title: str, world: OpaqueWorld) -> Record:
-    """Makes the record of a run that has ended."""
+    """Returns the record of a finished run."""
     judge = world.judge
     kinds = {workload.name: workload for workload in world.workloads}
     return Record(
@@ -93,7 +93,7 @@
     """Reads a record.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The text is not a record.
     """
     fields = json.loads(text)
     names = {field.name for field in attrs.fields(Record)}
--- a/notchhoist/testing/opaque/report.py
+++ b/notchhoist/testing/opaque/report.py
@@ -6,7 +6,7 @@
 
 
 def outcome_text(world: OpaqueWorld) -> str:
-    """Returns the report of a run."""
+    """Returns a table of the requests by kind, and totals of a run."""
     judge = world.judge
     lines = [
         _ROW.format(
--- a/notchhoist/testing/opaque/restores.py
+++ b/notchhoist/testing/opaque/restores.py
@@ -1,7 +1,7 @@
-"""Random days on which the store comes back from copies, again and again.
+"""Random runs in which the store is restored from backups repeatedly.
 
-Operators and backend servers go on writing; what the store loses they write
-again within two seconds. At the end every balancer must know what it holds.
+Operators and backend servers keep writing, and write what a restore lost again
+within two seconds. At the end every balancer must know what the store holds.
 
 python -m notchhoist.testing.opaque.restores --seed 1 --count 100
 """
@@ -18,7 +18,7 @@
 from notchhoist.flows.balancer.node import BalancerNode
 from notchhoist.testing.opaque import troubles
 from notchhoist.testing.opaque.experiment import (
-    LEAD_S,
+    WARM_UP_S,
     make_world,
     start_traffic,
 )
@@ -26,30 +26,30 @@
 from notchhoist.testing.opaque.world import OpaqueWorld
 
 SECONDS = 24.0
-ACTIONS = (6, 22)
-"""How many things are done in a day."""
+ACTION_COUNT = (6, 22)
+"""Bounds of the number of operations in a run."""
 
-COPY_AGE_S = (0.05, 5.0)
-AWAY_S = (0.05, 2.5)
-CALM_S = (0.3, 9.0)
-"""From one restore to the next copy, seconds."""
+BACKUP_AGE_S = (0.05, 5.0)
+OUTAGE_S = (0.05, 2.5)
+RESTORE_INTERVAL_S = (0.3, 9.0)
+"""Bounds of the time from a restore to the next backup, seconds."""
 
 RETRY_S = 0.1
-WRITTEN_AGAIN_S = 1.0
-LAPSE_S = troubles.HEARTBEAT_S * troubles.HEARTBEATS_MISSED
-SERVERS_LEFT = 2
-"""Servers of a service that never leave."""
+REWRITE_DELAY_S = 1.0
+ENTRY_LEASE_S = troubles.HEARTBEAT_S * troubles.HEARTBEATS_MISSED
+MIN_SERVERS = 2
+"""Number of servers of a service that are never drained."""
 
 
 @attrs.define(eq=False)
-class Day:
-    """One random day.
+class RandomRun:
+    """One random run.
 
     Attributes:
-        world: The world.
-        rng: Source of every draw about the day.
-        version: Newest configuration that was published.
-        evacuated: Zones that are evacuated.
+        world: The simulated deployment.
+        rng: Source of every random draw about the run.
+        version: Version of the newest published configuration.
+        evacuated: Zones that the operator has evacuated.
     """
 
     world: OpaqueWorld
@@ -58,77 +58,86 @@
     evacuated: set[str] = attrs.Factory(set)
 
     def plan(self) -> None:
-        """Draws what is done, and when the store comes back."""
-        actions = [self.publish, self.leave, self.evacuate, self.add_server]
+        """Draws the operations and the outages of the store."""
+        actions = [
+            self.publish,
+            self.drain_server,
+            self.evacuate,
+            self.add_server,
+        ]
         actions += [self.kill_balancer, self.kill_agent]
-        for _ in range(self.rng.randint(*ACTIONS)):
+        for _ in range(self.rng.randint(*ACTION_COUNT)):
             at = self.rng.uniform(4.0, SECONDS - 2.0)
             action = self.rng.choice(actions)
-            self.world.later(at, partial(self.once_up, action))
+            self.world.later(at, partial(self.when_store_up, action))
         at = self.rng.uniform(4.0, 8.0)
         while at < SECONDS - 4.0:
-            age, away = (self.rng.uniform(*r) for r in (COPY_AGE_S, AWAY_S))
-            self.world.later(at, partial(self.restore, age, away))
-            at += age + away + self.rng.uniform(*CALM_S)
-
-    def once_up(self, action: Callable[[], None]) -> None:
-        """Does something as soon as the store takes it."""
+            backup_age, outage = (
+                self.rng.uniform(*r) for r in (BACKUP_AGE_S, OUTAGE_S)
+            )
+            self.world.later(at, partial(self.restore, backup_age, outage))
+            at += backup_age + outage + self.rng.uniform(*RESTORE_INTERVAL_S)
+
+    def when_store_up(self, action: Callable[[], None]) -> None:
+        """Runs an operation as soon as the store is up."""
         if self.world.store.down:
-            self.world.later(RETRY_S, partial(self.once_up, action))
+            self.world.later(RETRY_S, partial(self.when_store_up, action))
         else:
             action()
 
-    # What operators and backend servers do.
+    # Operations of operators and backend servers.
 
     def publish(self) -> None:
         """Publishes the next configuration."""
         self.version += 1
         self.world.publish(self.version)
 
-    def leave(self) -> None:
-        """Lets a backend server leave, if its service can spare one."""
+    def drain_server(self) -> None:
+        """Drains a backend server if its service has enough of them."""
         ready: dict[str, list[Host]] = {}
         for host in self.world.hosts.values():
             server = host.server
             if server is not None and server.alive and not server.draining:
                 ready.setdefault(server.service, []).append(host)
-        spare = [
+        candidates = [
             host
             for hosts in ready.values()
-            if len(hosts) > SERVERS_LEFT
+            if len(hosts) > MIN_SERVERS
             for host in hosts
         ]
-        if spare:
-            troubles.retire(self.world, self.rng.choice(spare))
+        if candidates:
+            troubles.retire(self.world, self.rng.choice(candidates))
 
     def evacuate(self) -> None:
-        """Has a zone evacuated for some seconds."""
+        """Evacuates a zone for some seconds."""
         zone = self.rng.choice(list(self.world.zones))
         if zone in self.evacuated:
             return
         self.evacuated.add(zone)
         self.world.judge.evacuated[zone] = self.world.now
         self.world.store.put(f"op/evacuate/{zone}", {})
-        take_back = partial(self.once_up, partial(self._take_back, zone))
-        self.world.later(self.rng.uniform(1.0, 8.0), take_back)
+        end_evacuation = partial(
+            self.when_store_up, partial(self._end_evacuation, zone)
+        )
+        self.world.later(self.rng.uniform(1.0, 8.0), end_evacuation)
 
-    def _take_back(self, zone: str) -> None:
+    def _end_evacuation(self, zone: str) -> None:
         self.evacuated.discard(zone)
         self.world.judge.evacuated.pop(zone, None)
         self.world.store.remove(f"op/evacuate/{zone}")
 
     def add_server(self) -> None:
-        """Adds a backend server."""
-        like = self.rng.choice([h for h in self._hosts() if h.service])
-        self.world.add_host(like.zone, like.service)
+        """Adds a backend server of a random service and zone."""
+        template = self.rng.choice([h for h in self._hosts() if h.service])
+        self.world.add_host(template.zone, template.service)
 
     def kill_balancer(self) -> None:
-        """Kills a balancer, which starts again."""
+        """Kills a balancer, which restarts later."""
         entries = [host for host in self._hosts() if not host.service]
         troubles.kill(self.world, self.rng.choice(entries))
 
     def kill_agent(self) -> None:
-        """Kills an agent beside its living server."""
+        """Kills an agent; its backend server keeps running."""
         agents = [host for host in self._hosts() if host.service]
         troubles.kill(self.world, self.rng.choice(agents))
 
@@ -137,58 +146,60 @@
 
     # The store.
 
-    def restore(self, age: float, away: float) -> None:
-        """Brings the store back from a copy that is taken now.
+    def restore(self, backup_age: float, outage: float) -> None:
+        """Takes a backup now and restores the store from it after an outage.
 
         Args:
-            age: How old the copy is when the store goes away, seconds.
-            away: For how long it is away, seconds.
+            backup_age: Age of the backup when the outage starts, seconds.
+            outage: Length of the outage, seconds.
         """
         world = self.world
-        copy = world.store.copy()
+        backup = world.store.copy()
 
-        def go_away() -> None:
+        def begin_outage() -> None:
             world.judge.disturb(world.now)
             world.store.down = self.rng.choice(["silent", "reset", "busy"])
 
-        def come_back() -> None:
+        def end_outage() -> None:
             world.judge.disturb(world.now)
             world.store.down = ""
-            world.store.restore(copy)
-            troubles.write_entries_again(world)
-            self._write_again()
-
-        world.later(age, go_away)
-        world.later(age + away, come_back)
-
-    def _write_again(self) -> None:
-        """Lets the operator write again what was lost, and entries lapse."""
-        for action in (self._publish_again, self._evacuate_again):
-            delay = self.rng.uniform(0.0, WRITTEN_AGAIN_S)
-            self.world.later(delay, partial(self.once_up, action))
+            world.store.restore(backup)
+            troubles.rewrite_entries(world)
+            self._rewrite_lost()
+
+        world.later(backup_age, begin_outage)
+        world.later(backup_age + outage, end_outage)
+
+    def _rewrite_lost(self) -> None:
+        """Lets the operator rewrite what was lost, and dead entries expire."""
+        for action in (self._republish, self._rewrite_evacuations):
+            delay = self.rng.uniform(0.0, REWRITE_DELAY_S)
+            self.world.later(delay, partial(self.when_store_up, action))
         for key in list(self.world.store.items):
-            if key.startswith("servers/") and key not in self._alive():
-                self.world.later(LAPSE_S, partial(self._lapse, key))
-
-    def _publish_again(self) -> None:
-        held = self.world.store.value("op/config")
-        if held is None or held["version"] != self.version:
+            if key.startswith("servers/") and key not in self._live_keys():
+                self.world.later(
+                    ENTRY_LEASE_S, partial(self._remove_expired, key)
+                )
+
+    def _republish(self) -> None:
+        stored = self.world.store.value("op/config")
+        if stored is None or stored["version"] != self.version:
             self.world.publish(self.version)
 
-    def _evacuate_again(self) -> None:
+    def _rewrite_evacuations(self) -> None:
         for zone in self.world.zones:
             key = f"op/evacuate/{zone}"
-            there = self.world.store.value(key) is not None
-            if there and zone not in self.evacuated:
+            published = self.world.store.value(key) is not None
+            if published and zone not in self.evacuated:
                 self.world.store.remove(key)
-            elif not there and zone in self.evacuated:
+            elif not published and zone in self.evacuated:
                 self.world.store.put(key, {})
 
-    def _lapse(self, key: str) -> None:
-        if key not in self._alive():
+    def _remove_expired(self, key: str) -> None:
+        if key not in self._live_keys():
             self.world.store.remove(key)
 
-    def _alive(self) -> set[str]:
+    def _live_keys(self) -> set[str]:
         servers = [host.server for host in self._hosts()]
         return {
             f"servers/{server.server_id}"
@@ -196,16 +207,16 @@
             if server is not None and server.alive
         }
 
-    # What must hold in the end.
+    # Checks at the end of the run.
 
     def faults(self) -> Iterator[str]:
-        """Yields what was broken, and what a balancer does not know."""
+        """Yields broken guarantees and differences of views from the store."""
         yield from self.world.judge.broken
         for host in self._hosts():
             if isinstance(host.node, BalancerNode):
-                yield from self._ignorance(host.name, host.node)
+                yield from self._view_faults(host.name, host.node)
 
-    def _ignorance(self, name: str, node: BalancerNode) -> Iterator[str]:
+    def _view_faults(self, name: str, node: BalancerNode) -> Iterator[str]:
         store, view = self.world.store, node.board.view
         version = view.table.version if view.table else 0
         if version != self.version:
@@ -220,27 +231,28 @@
         if set(view.servers) != ids:
             yield f"{name}: other servers: {set(view.servers) ^ ids}"
         for server_id in ids & set(view.servers):
-            held = store.value(f"servers/{server_id}") or {}
-            leaving = held.get("state") == "draining"
-            if view.servers[server_id].draining != leaving:
-                yield f"{name}: {server_id} leaves: {leaving}"
+            stored = store.value(f"servers/{server_id}") or {}
+            draining = stored.get("state") == "draining"
+            if view.servers[server_id].draining != draining:
+                yield f"{name}: {server_id} leaves: {draining}"
 
 
-def play(seed: int, names_era: bool = True) -> Day:
-    """Plays the day of a seed.
+def play(seed: int, names_era: bool = True) -> RandomRun:
+    """Plays the run of a seed.
 
     Args:
-        seed: Seed of every draw.
-        names_era: The store's answers say that it came back from a copy.
+        seed: Seed of every random draw.
+        names_era: Whether the store's responses name its era, which changes
+            with each restore.
     """
     world = make_world(seed)
     world.store.names_era = names_era
-    start_traffic(world, LEAD_S + SECONDS)
-    day = Day(world, random.Random(seed))
-    day.plan()
-    longest = max(item.deadline_s for item in world.workloads)
-    world.run_until(LEAD_S + SECONDS + longest)
-    return day
+    start_traffic(world, WARM_UP_S + SECONDS)
+    run = RandomRun(world, random.Random(seed))
+    run.plan()
+    longest_deadline_s = max(item.deadline_s for item in world.workloads)
+    world.run_until(WARM_UP_S + SECONDS + longest_deadline_s)
+    return run
 
 
 @cappa.command(name="restores", description="Plays days with restores.")
@@ -260,15 +272,15 @@
 
 
 def main() -> int:
-    """Entry point; status 1 where something broke that must hold."""
+    """Entry point; returns 1 if a run broke a guarantee."""
     command = cappa.parse(Command)
     broken = 0
     for seed in range(command.seed, command.seed + command.count):
-        day = play(seed, not command.unnamed)
-        faults = list(day.faults())
+        run = play(seed, not command.unnamed)
+        faults = list(run.faults())
         broken += bool(faults)
-        worth = day.world.judge.worth(day.world.workloads)
-        calls = day.world.store.calls
+        worth = run.world.judge.worth(run.world.workloads)
+        calls = run.world.store.calls
         print(f"{seed}: worth {worth:.3f}, {calls} calls, {len(faults)} faults")
         for fault in faults[:5]:
             print(f"  {fault}")
--- a/notchhoist/testing/opaque/scenarios.py
+++ b/notchhoist/testing/opaque/scenarios.py
@@ -1,4 +1,4 @@
-"""Troubles by name, for experiments and tests."""
+"""Scenarios by name, for experiments and tests."""
 
 from collections.abc import Callable
 from functools import partial
@@ -9,43 +9,44 @@
 
 SPACING_S = 1.3
 AGENTS_SPACING_S = 1.6
-SLOW_START_S = 4.4
-"""From an agent's stop to its start on a host that is short of processor time,
-seconds: longer than balancers wait for one that has announced itself."""
+LONG_AGENT_START_S = 4.4
+"""Time from an agent's stop to its start on a host with little CPU, seconds.
 
+It is longer than balancers wait for an agent that has announced itself."""
 
-def _entries(world: OpaqueWorld) -> list[Host]:
+
+def _balancer_hosts(world: OpaqueWorld) -> list[Host]:
     return [host for host in world.hosts.values() if not host.service]
 
 
-def _backends(world: OpaqueWorld) -> list[Host]:
+def _server_hosts(world: OpaqueWorld) -> list[Host]:
     return [host for host in world.hosts.values() if host.service]
 
 
 def quiet(_: OpaqueWorld) -> None:
-    """Nothing happens."""
+    """Injects nothing."""
 
 
 def roll_balancers(world: OpaqueWorld) -> None:
-    """Stops the balancers one after the other, as planned."""
-    for number, host in enumerate(_entries(world)):
+    """Stops and restarts the balancers one by one, as planned."""
+    for number, host in enumerate(_balancer_hosts(world)):
         world.later(
             number * SPACING_S * 2, partial(troubles.stop_balancer, world, host)
         )
 
 
 def roll_agents(world: OpaqueWorld) -> None:
-    """Stops the agents in turn, as planned; their starts take long."""
-    for number, host in enumerate(_backends(world)):
+    """Stops the agents one by one, as planned; they are slow to start."""
+    for number, host in enumerate(_server_hosts(world)):
         world.later(
             number * AGENTS_SPACING_S,
-            partial(troubles.stop_agent, world, host, SLOW_START_S),
+            partial(troubles.stop_agent, world, host, LONG_AGENT_START_S),
         )
 
 
 def release(world: OpaqueWorld) -> None:
-    """Replaces half of the backend servers; the new one starts first."""
-    for number, host in enumerate(_backends(world)[::2]):
+    """Replaces half of the backend servers; each new one starts first."""
+    for number, host in enumerate(_server_hosts(world)[::2]):
 
         def replace(host: Host = host) -> None:
             slots = host.server.slots if host.server else 3
@@ -57,50 +58,50 @@
 
 def kill_balancers(world: OpaqueWorld) -> None:
     """Kills half of the balancers at once."""
-    for host in _entries(world)[::2]:
+    for host in _balancer_hosts(world)[::2]:
         troubles.kill(world, host)
 
 
 def kill_agents(world: OpaqueWorld) -> None:
     """Kills half of the agents at once."""
-    for host in _backends(world)[::2]:
+    for host in _server_hosts(world)[::2]:
         troubles.kill(world, host)
 
 
 def kill_all(world: OpaqueWorld) -> None:
-    """Kills every process of ours at once; backend servers live on."""
+    """Kills every balancer and agent at once; backend servers keep running."""
     for host in list(world.hosts.values()):
         troubles.kill(world, host, 0.8)
 
 
 def power_off(world: OpaqueWorld) -> None:
-    """Takes the power from every host at once."""
+    """Cuts the power of every host at once."""
     for host in list(world.hosts.values()):
         troubles.power_off(world, host, 1.2)
 
 
 def lose_host(world: OpaqueWorld) -> None:
-    """Takes the power from one backend server's host for long."""
-    troubles.power_off(world, _backends(world)[0], 30.0)
+    """Cuts the power of one backend server's host for 30 s."""
+    troubles.power_off(world, _server_hosts(world)[0], 30.0)
 
 
 def crash_servers(world: OpaqueWorld) -> None:
-    """Crashes two backend servers for good; their agents live on."""
-    for host in _backends(world)[:2]:
+    """Crashes two backend servers for good; their agents keep running."""
+    for host in _server_hosts(world)[:2]:
         world.judge.disturb(world.now)
         troubles.crash_server(world, host)
 
 
 def slow_server(world: OpaqueWorld) -> None:
-    """Makes one backend server four times as slow for a while."""
-    server = _backends(world)[0].server
+    """Makes one backend server four times as slow for six seconds."""
+    server = _server_hosts(world)[0].server
     if server is not None:
         server.slowness = 4.0
         world.later(6.0, lambda: setattr(server, "slowness", 1.0))
 
 
 def store_silent(world: OpaqueWorld) -> None:
-    """Silences the store while the servers are replaced."""
+    """Stops the store's responses while backend servers are replaced."""
     world.judge.disturb(world.now)
     world.store.down = "silent"
     release(world)
@@ -108,72 +109,74 @@
 
 
 def store_from_a_copy(world: OpaqueWorld) -> None:
-    """Brings the store back from a copy; servers leave in calm after that.
+    """Restores the store from a backup; later, undisturbed, servers drain.
 
-    Three configurations came after the copy, only the newest is written again:
-    the store's revisions pass the known ones as the servers announce that they
-    leave.
+    Three configurations are published after the backup, and only the newest is
+    written again. The store's revisions therefore pass those that balancers
+    know just as the servers announce that they drain.
     """
-    copy = world.store.copy()
+    backup = world.store.copy()
     for version in (2, 3, 4):
         world.later(0.2 * version, partial(world.publish, version))
-    restore = partial(troubles.restore_store, world, copy, 4, 1.5)
+    restore = partial(troubles.restore_store, world, backup, 4, 1.5)
     world.later(1.0, restore)
-    for host in _backends(world)[:2]:
+    for host in _server_hosts(world)[:2]:
         world.later(7.0, partial(troubles.retire, world, host))
 
 
 def cut_host(world: OpaqueWorld) -> None:
-    """Cuts one backend server's host off from the balancers."""
-    host = _backends(world)[0]
-    for entry in _entries(world):
+    """Cuts the network between one backend server's host and all balancers."""
+    host = _server_hosts(world)[0]
+    for entry in _balancer_hosts(world):
         troubles.cut(world, host.ip, entry.ip, 5.0)
 
 
 def freeze_agents(world: OpaqueWorld) -> None:
-    """Freezes two agents for a while."""
-    for host in _backends(world)[:2]:
+    """Freezes two agents for three seconds."""
+    for host in _server_hosts(world)[:2]:
         troubles.freeze(world, host, 3.0)
 
 
 def evacuate(world: OpaqueWorld) -> None:
-    """Has a zone evacuated, which comes back cold; its callers go elsewhere."""
+    """Evacuates a zone, which returns cold; its callers use other zones."""
     troubles.evacuate(world, world.zones[0], 5.0)
 
 
 def evacuate_twice(world: OpaqueWorld) -> None:
-    """Has a zone evacuated again right after it was taken back, warm."""
+    """Evacuates a zone twice in a row; its servers stay warm."""
     troubles.evacuate(world, world.zones[0], 2.0, warm=True)
-    again = partial(troubles.evacuate, world, world.zones[0], 4.0, warm=True)
-    world.later(2.4, again)
+    second = partial(troubles.evacuate, world, world.zones[0], 4.0, warm=True)
+    world.later(2.4, second)
 
 
 def evacuate_unheard(world: OpaqueWorld) -> None:
-    """Has a zone evacuated while the store serves half of the balancers."""
+    """Evacuates a zone while the store serves only half of the balancers."""
     world.judge.disturb(world.now)
     world.store.down = "many"
-    world.store.down_for = frozenset(item.ip for item in _entries(world)[::2])
+    world.store.down_for = frozenset(
+        item.ip for item in _balancer_hosts(world)[::2]
+    )
     troubles.evacuate(world, world.zones[1], 8.0)
     world.later(6.0, lambda: setattr(world.store, "down", ""))
 
 
 def evacuate_and_kill(world: OpaqueWorld) -> None:
-    """Kills balancers and agents while a zone is evacuated."""
+    """Evacuates a zone and kills balancers and agents meanwhile."""
     troubles.evacuate(world, world.zones[0], 8.0)
     world.later(1.0, lambda: kill_balancers(world))
     world.later(4.0, lambda: kill_agents(world))
 
 
 def reborn_servers(world: OpaqueWorld) -> None:
-    """Servers end and start again under their ids, one after the other."""
-    for number, host in enumerate(_backends(world)[::2]):
+    """Restarts every second backend server under its id, one by one."""
+    for number, host in enumerate(_server_hosts(world)[::2]):
         world.later(
             number * 0.4, partial(troubles.restart_server, world, host, 0.8)
         )
 
 
 def strange_entries(world: OpaqueWorld) -> None:
-    """Another writer overwrites entries, each in another way."""
+    """Lets another writer overwrite entries with malformed values."""
     values: list[object] = [
         {},
         [],
@@ -181,7 +184,7 @@
         {"service": 4},
         {"service": "nobody", "state": "resting"},
     ]
-    for number, host in enumerate(_backends(world)):
+    for number, host in enumerate(_server_hosts(world)):
         value = values[number % len(values)]
         world.later(
             number * 0.5, partial(troubles.overwrite_entry, world, host, value)
@@ -190,12 +193,12 @@
 
 
 def change_weights(world: OpaqueWorld) -> None:
-    """Turns the weights of a split route; then the balancers stop in turn."""
+    """Changes the weights of a split route while balancers stop one by one."""
     weights = [(9, 1), (1, 9), (0, 1), (1, 0), (5, 5)]
     for number, (first, second) in enumerate(weights):
         targets = (("hallbook", first), ("scoredrop", second))
-        turn = partial(troubles.split_route, world, "roster-feed", *targets)
-        world.later(0.5 * number, turn)
+        change = partial(troubles.split_route, world, "roster-feed", *targets)
+        world.later(0.5 * number, change)
     world.later(3.0, partial(troubles.split_route, world, "roster-feed"))
     world.later(1.0, partial(roll_balancers, world))
 
--- a/notchhoist/testing/opaque/tests/hard_load.py
+++ b/notchhoist/testing/opaque/tests/hard_load.py
@@ -1,11 +1,11 @@
-"""Loads of many short requests on the stand-in, and what callers get."""
+"""Simulated deployments with many short requests, shared by tests."""
 
 import random
 
 from notchhoist.flows.agent.node import AgentNode
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.flows.model.records import Count
-from notchhoist.testing.opaque.experiment import LEAD_S, start_traffic
+from notchhoist.testing.opaque.experiment import WARM_UP_S, start_traffic
 from notchhoist.testing.opaque.traffic import Workload
 from notchhoist.testing.opaque.world import OpaqueWorld
 
@@ -13,7 +13,8 @@
 SERVERS = 16
 BALANCERS = 8
 CAPACITY_PER_S = SERVERS / 0.024
-"""Requests a second that fill all slots: one a server, 24 ms the mean work."""
+"""Requests per second that use every slot: one slot per server, and a mean
+service time of 24 ms."""
 
 LISTING = Workload(
     *("listing", "safe", "agenda", 8443, 0.65 * CAPACITY_PER_S, 22, 60, 1000),
@@ -28,11 +29,11 @@
     *("feed", "safe", "albums", 8443, 190, 52, 60, 1000),
     *(0.486, 2.1, 2, 1.0, 0.5, True),
 )
-"""Requests on flows that stay open from one to the next."""
+"""Requests on flows that stay open from one request to the next."""
 
 
 def make_world(load, seed=7, uses=ALL, trouble=None, trouble_at_s=2.0):
-    """Makes a service of one-slot servers with a share of its full load."""
+    """Makes a service of one-slot servers at a share of its capacity."""
     workloads = tuple(
         Workload(
             *(item.name, item.kind, item.service, item.port),
@@ -49,12 +50,12 @@
     for number in range(SERVERS):
         world.add_host(ZONES[number % len(ZONES)], "agenda", slots=1)
     if trouble is not None:
-        world.later(LEAD_S + trouble_at_s, lambda: trouble(world))
+        world.later(WARM_UP_S + trouble_at_s, lambda: trouble(world))
     return world
 
 
-def make_feed_world(seed=7, uses=ALL):
-    """Makes a service whose callers keep their flows."""
+def make_long_flow_world(seed=7, uses=ALL):
+    """Makes a service whose callers keep their flows open."""
     world = OpaqueWorld(random.Random(seed), ZONES, (FEED,), uses=uses)
     world.publish(1)
     for number in range(BALANCERS):
@@ -65,9 +66,9 @@
 
 
 def play(world, seconds):
-    """Plays callers for a time, and lets what they asked end."""
-    start_traffic(world, LEAD_S + seconds)
-    world.run_until(LEAD_S + seconds + 4.0)
+    """Runs the callers for a time, then waits for their last requests."""
+    start_traffic(world, WARM_UP_S + seconds)
+    world.run_until(WARM_UP_S + seconds + 4.0)
     return world
 
 
@@ -79,12 +80,12 @@
     ]
 
 
-def held_share(world):
-    """Returns the share of the requests that waited for a slot."""
-    held = sum(
+def queued_share(world):
+    """Returns the share of requests that were queued for a slot."""
+    queued = sum(
         node.board.records.counters[Count.HELD] for node in agents(world)
     )
-    return held / sum(tally.asked for tally in world.judge.tallies.values())
+    return queued / sum(tally.asked for tally in world.judge.tallies.values())
 
 
 def latency_s(world, kind, percentile):
--- a/notchhoist/testing/opaque/tests/test_far_zones.py
+++ b/notchhoist/testing/opaque/tests/test_far_zones.py
@@ -1,4 +1,4 @@
-"""Zones that are as far apart as a request takes: where flows are placed."""
+"""Flow placement when delays between zones are close to the service time."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.testing.opaque import troubles
-from notchhoist.testing.opaque.experiment import LEAD_S
+from notchhoist.testing.opaque.experiment import WARM_UP_S
 from notchhoist.testing.opaque.tests.hard_load import ZONES, latency_s, play
 from notchhoist.testing.opaque.traffic import Workload
 from notchhoist.testing.opaque.world import OpaqueWorld
@@ -14,8 +14,8 @@
 FAR_S, SHORT_WORK_MS = 0.0049, 15
 NEAR_S, USUAL_WORK_MS = 0.0015, 50
 SECONDS = 2.5
-BEFORE = ALL.without(["distances"])
-EVEN = dict.fromkeys(ZONES, 4)
+WITHOUT_DISTANCES = ALL.without(["distances"])
+EQUAL_COUNTS = dict.fromkeys(ZONES, 4)
 
 
 def make_world(
@@ -28,8 +28,8 @@
     load=0.4,
     seed=7,
 ):
-    """Makes one-slot servers in four zones, by how many there are in each."""
-    servers = servers or EVEN
+    """Makes one-slot servers in four zones; ``servers`` has counts by zone."""
+    servers = servers or EQUAL_COUNTS
     per_s = load * sum(servers.values()) / (work_ms / 1000)
     workload = Workload(
         *("order", kind, "yard", 8443, per_s, work_ms, 60, 2000),
@@ -53,55 +53,55 @@
     return world, world.network.zone_bytes, latency_s(world, "order", 50)
 
 
-def test_single_requests_stay_near_and_are_quicker():
-    _, bytes_before, before_s = outcome(uses=BEFORE)
+def test_single_requests_stay_in_the_local_zone_and_are_faster():
+    _, bytes_before, before_s = outcome(uses=WITHOUT_DISTANCES)
     world, zone_bytes, median_s = outcome()
     assert zone_bytes < 0.3 * bytes_before
     assert median_s < 0.8 * before_s
     assert world.judge.worth(world.workloads) > 0.99
 
 
-def near_share(world):
-    """Returns the share of open flows that are near their callers."""
-    near = [
+def local_share(world):
+    """Returns the share of open flows whose server is in the caller's zone."""
+    local = [
         world.zone_of_caller[caller[0]] == server.zone
         for server in (host.server for host in world.hosts.values())
         if server is not None and server.alive
         for (caller, _), held in server.flows.items()
         if held.ended_at == float("inf")
     ]
-    return sum(near) / len(near)
+    return sum(local) / len(local)
 
 
 def play_new_flows(kind, uses, seed):
-    """Lets every second server lose its power, so that flows open anew."""
+    """Cuts the power of every second server, so that callers reopen flows."""
     world = make_world(
         kind=kind, long_flows=True, load=0.3, uses=uses, seed=seed
     )
     hosts = [host for host in world.hosts.values() if host.service]
     for host in hosts[::2]:
         world.later(
-            LEAD_S + 3.0, lambda h=host: troubles.power_off(world, h, 0.4)
+            WARM_UP_S + 3.0, lambda h=host: troubles.power_off(world, h, 0.4)
         )
     play(world, 5.0)
     assert not world.judge.broken
-    return near_share(world)
+    return local_share(world)
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_long_flows_that_are_opened_anew_stay_near(kind):
+def test_reopened_long_flows_stay_in_the_local_zone(kind):
     before, now = (
         [play_new_flows(kind, uses, seed) for seed in (1, 3)]
-        for uses in (BEFORE, ALL)
+        for uses in (WITHOUT_DISTANCES, ALL)
     )
     assert sum(now) > sum(before) + 0.05
 
 
 @pytest.mark.parametrize("long_flows", [False, True])
-def test_short_distances_are_decided_as_before(long_flows):
-    """Bytes, medians and counts are the same to the last one."""
+def test_short_distances_do_not_change_decisions(long_flows):
+    """Bytes, medians and counts are exactly equal."""
     played = []
-    for uses in (BEFORE, ALL):
+    for uses in (WITHOUT_DISTANCES, ALL):
         world, *figures = outcome(
             cross_s=NEAR_S,
             work_ms=USUAL_WORK_MS,
@@ -114,20 +114,20 @@
 
 
 @pytest.mark.parametrize("long_flows", [False, True])
-def test_a_zone_with_too_few_servers_hands_flows_over(long_flows):
-    """One zone has a quarter of the callers and a sixteenth of the servers."""
-    servers = EVEN | {ZONES[0]: 1, ZONES[1]: 7}
+def test_a_zone_with_too_few_servers_sends_flows_to_other_zones(long_flows):
+    """One zone has 1/4 of the callers and 1/16 of the servers."""
+    servers = EQUAL_COUNTS | {ZONES[0]: 1, ZONES[1]: 7}
     world, *_ = outcome(servers=servers, long_flows=long_flows)
     assert world.judge.worth(world.workloads) > 0.98
 
 
-def test_near_agents_that_restart_and_words_that_are_lost_cost_little():
+def test_agent_restarts_and_packet_loss_in_the_local_zone_cost_little():
     world = make_world()
     world.network.loss = 0.01
-    near = [host for host in world.hosts.values() if host.zone == ZONES[0]]
-    for host in near:
+    local = [host for host in world.hosts.values() if host.zone == ZONES[0]]
+    for host in local:
         if host.service:
-            world.later(LEAD_S + 2.0, lambda h=host: troubles.kill(world, h))
+            world.later(WARM_UP_S + 2.0, lambda h=host: troubles.kill(world, h))
     play(world, SECONDS)
     assert not world.judge.broken
     assert world.judge.worth(world.workloads) > 0.9
--- a/notchhoist/testing/opaque/tests/test_hard_load.py
+++ b/notchhoist/testing/opaque/tests/test_hard_load.py
@@ -1,43 +1,48 @@
-"""Many short requests on one-slot servers: who waits while others are idle."""
+"""Queueing of many short requests at one-slot servers."""
 
 import pytest
 
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.flows.model.records import Count
 from notchhoist.testing.opaque import troubles
-from notchhoist.testing.opaque.experiment import LEAD_S
+from notchhoist.testing.opaque.experiment import WARM_UP_S
 from notchhoist.testing.opaque.tests.hard_load import (
-    held_share,
     latency_s,
-    make_feed_world,
+    make_long_flow_world,
     make_world,
     play,
+    queued_share,
 )
 
-HALF = 0.5
+HALF_LOAD = 0.5
 SECONDS = 4.0
-STANDING = ALL.without(["if_free"])
-NAIVE = ALL.without(["if_free", "load"])
+REPORTED_LOAD = ALL.without(["if_free"])
+BASELINE = ALL.without(["if_free", "load"])
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_at_half_load_hardly_anybody_waits(seed):
-    """Six in ten waited where balancers went by their own words alone.
+def test_few_requests_are_queued_at_half_load(seed):
+    """Guards against placement by load reports alone.
 
-    What they knew of a server was four times as old as a request takes.
+    60% of the requests were queued then, as a balancer's state of a server was
+    four times as old as a request takes.
     """
-    world = play(make_world(HALF, seed), SECONDS)
-    assert held_share(world) < 0.1
+    world = play(make_world(HALF_LOAD, seed), SECONDS)
+    assert queued_share(world) < 0.1
     assert not world.judge.broken
 
 
-def test_it_is_better_than_words_and_better_than_chance():
+def test_conditional_offers_beat_load_reports_and_random_choice():
     shares = {}
-    for name, uses in {"new": ALL, "words": STANDING, "chance": NAIVE}.items():
-        world = play(make_world(HALF, uses=uses), SECONDS)
-        shares[name] = held_share(world), latency_s(world, "listing", 90)
-    assert shares["new"] < min(shares["words"], shares["chance"])
-    assert shares["new"][1] < min(shares["words"][1], shares["chance"][1])
+    for name, uses in {
+        "new": ALL,
+        "reports": REPORTED_LOAD,
+        "random": BASELINE,
+    }.items():
+        world = play(make_world(HALF_LOAD, uses=uses), SECONDS)
+        shares[name] = queued_share(world), latency_s(world, "listing", 90)
+    assert shares["new"] < min(shares["reports"], shares["random"])
+    assert shares["new"][1] < min(shares["reports"][1], shares["random"][1])
 
 
 def _kill_balancers(world):
@@ -51,16 +56,16 @@
 
 
 @pytest.mark.parametrize("trouble", [_kill_balancers, _kill_agents])
-def test_restarts_with_words_under_way_lose_nothing(trouble):
-    world = play(make_world(HALF, trouble=trouble), SECONDS)
+def test_restarts_with_messages_in_transit_break_nothing(trouble):
+    world = play(make_world(HALF_LOAD, trouble=trouble), SECONDS)
     assert not world.judge.broken
     assert world.judge.worth(world.workloads) > 0.9
 
 
-def _questions_after_power_off(uses):
-    """Plays a loss of power for all; returns questions and what was told."""
-    world = make_feed_world(uses=uses)
-    off_at = LEAD_S + 2.0
+def _queries_after_power_off(uses):
+    """Cuts the power of all hosts; returns queries and flows found nowhere."""
+    world = make_long_flow_world(uses=uses)
+    off_at = WARM_UP_S + 2.0
     for host in list(world.hosts.values()):
         world.later(off_at, lambda h=host: troubles.power_off(world, h, 1.0))
     play(world, SECONDS)
@@ -74,11 +79,15 @@
     return [sum(item[name] for item in counters) for name in names]
 
 
-def test_flows_lost_with_the_power_cost_few_questions():
-    """One round instead of two: no agent could tell, so each was tried."""
-    asked, told = _questions_after_power_off(ALL)
-    asked_before, told_before = _questions_after_power_off(
+def test_flows_lost_in_a_power_loss_cost_few_queries():
+    """Guards against a second round of queries.
+
+    It took place because agents could not report the flows absent, so each was
+    tried.
+    """
+    queries, absent = _queries_after_power_off(ALL)
+    queries_before, absent_before = _queries_after_power_off(
         ALL.without(["anew"])
     )
-    assert told >= 0.9 * told_before > 0
-    assert asked < 0.7 * asked_before
+    assert absent >= 0.9 * absent_before > 0
+    assert queries < 0.7 * queries_before
--- a/notchhoist/testing/opaque/tests/test_leaving.py
+++ b/notchhoist/testing/opaque/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Servers that leave while balancers do not heed it: agents stop them."""
+"""Agents turn away new flows when balancers ignore that a server drains."""
 
 from notchhoist.flows.agent.opening_gate import OpeningGate
 from notchhoist.flows.decisions import server_selection
@@ -6,13 +6,13 @@
 from notchhoist.testing.opaque.experiment import make_world, play
 
 
-def heedless(servers, now):
-    """Places as if nobody had announced that it leaves."""
+def ignore_draining(servers, now):
+    """Returns the servers as if none had announced that it drains."""
     return [server for server in servers if server.listed]
 
 
 def late_flows(monkeypatch, agents):
-    monkeypatch.setattr(server_selection, "usable_servers", heedless)
+    monkeypatch.setattr(server_selection, "usable_servers", ignore_draining)
     if not agents:
         monkeypatch.setattr(
             OpeningGate, "is_past_drain_cutoff", lambda *_: False
@@ -21,21 +21,24 @@
     return [text for text in world.judge.broken if "DRAIN" in text]
 
 
-def test_agents_stop_balancers_that_do_not_heed_a_leave(monkeypatch):
+def test_agents_stop_late_flows_of_balancers_that_ignore_draining(monkeypatch):
     assert not late_flows(monkeypatch, agents=True)
 
 
-def test_without_the_agents_such_balancers_send_late_flows(monkeypatch):
+def test_without_the_agents_such_balancers_place_late_flows(monkeypatch):
     assert late_flows(monkeypatch, agents=False)
 
 
-def test_a_server_that_left_and_started_again_may_get_new_flows():
-    """A run was called broken for flows at the next life of a server's id."""
+def test_a_server_that_drained_and_restarted_may_get_new_flows():
+    """Guards against false reports of the judge.
+
+    New flows at the next incarnation of a server counted as late flows.
+    """
     world = make_world(seed=1)
     host = next(host for host in world.hosts.values() if host.service)
     troubles.retire(world, host)
-    left = host.server.server_id
-    assert left in world.judge.leaving
-    world.start_server(host, server_id=left)
-    world.judge.on_opening(left, host.zone, cold=False, now=99.0)
+    server_id = host.server.server_id
+    assert server_id in world.judge.leaving
+    world.start_server(host, server_id=server_id)
+    world.judge.on_opening(server_id, host.zone, cold=False, now=99.0)
     assert not world.judge.broken
--- a/notchhoist/testing/opaque/tests/test_links.py
+++ b/notchhoist/testing/opaque/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Thin links: what callers get, with and without a scheduler before them."""
+"""Low-bandwidth links with and without pacing at the balancers."""
 
 from notchhoist.testing.opaque.experiment import play
 
@@ -19,8 +19,8 @@
     return lost / (lost + sent), world.judge.tallies["score-upload"], worth
 
 
-def test_uploads_pass_thin_links_without_loss():
-    """29% of what balancers forwarded was lost in their own links."""
+def test_uploads_pass_low_bandwidth_links_without_loss():
+    """Without pacing the balancers' links lost 29% of forwarded packets."""
     lost_before, before, _ = outcome(paced=False)
     lost, after, worth = outcome(paced=True)
     assert lost_before > 0.05
@@ -30,15 +30,15 @@
     assert worth > 0.99
 
 
-def test_callers_on_thin_links_gain_by_pacing():
-    """Without pacing a hundredth of the worth at least is lost."""
+def test_pacing_raises_the_worth_on_low_bandwidth_links():
+    """Without pacing at least 1% of the worth is lost."""
     before = [outcome(False, seed)[2] for seed in SEEDS]
     worth = [outcome(True, seed)[2] for seed in SEEDS]
     assert all(one > other for one, other in zip(worth, before, strict=True))
     assert sum(worth) / len(SEEDS) > 0.99 > sum(before) / len(SEEDS) + 0.01
 
 
-def test_wide_links_carry_the_same_either_way():
+def test_pacing_changes_nothing_on_fast_links():
     worlds = [
         play("quiet", 3, 3.0, link_mbps=1000.0, paced=paced)
         for paced in (False, True)
--- a/notchhoist/testing/opaque/tests/test_machine.py
+++ b/notchhoist/testing/opaque/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Troubles in any order, overlapping, on the stand-in: nothing breaks."""
+"""Random sequences of overlapping faults break no guarantee."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
--- a/notchhoist/testing/opaque/tests/test_restores.py
+++ b/notchhoist/testing/opaque/tests/test_restores.py
@@ -1,4 +1,4 @@
-"""Days on which the store comes back from copies, again and again."""
+"""Random runs in which the store is restored from backups repeatedly."""
 
 import pytest
 
@@ -6,11 +6,14 @@
 
 
 @pytest.mark.parametrize("seed", [5, 1004, 1006, 1009])
-def test_everybody_knows_what_the_store_holds_in_the_end(seed):
-    """With bare counts for revisions 8 days of 24 had faults; these too."""
+def test_every_balancer_knows_the_contents_of_the_store_at_the_end(seed):
+    """Guards against comparing revisions without the store's era.
+
+    8 runs of 24 had faults then, among them these seeds.
+    """
     assert not list(play(seed).faults())
 
 
 @pytest.mark.parametrize("seed", [5, 8])
-def test_a_restore_is_noticed_that_the_store_does_not_name(seed):
+def test_restores_are_noticed_when_the_store_names_no_era(seed):
     assert not list(play(seed, names_era=False).faults())
--- a/notchhoist/testing/opaque/tests/test_store_from_a_copy.py
+++ b/notchhoist/testing/opaque/tests/test_store_from_a_copy.py
@@ -1,42 +1,37 @@
-"""New flows at backend servers that had said long before that they leave.
-
-Seen: callers' new flows reached a server 5.07 and 5.35 s after the platform had
-acknowledged that it leaves, where 5 s are allowed, through balancers in two
-zones and with nothing disturbed at the time.
-
-Order of events: the store was away for 2.2 s and came back from a copy some
-seconds old, its revision at 60 where every balancer knew 63. It refused their
-watches (410); lists were read, 36 a second, and passed over as older than what
-was known. Two servers wrote that they leave, as revisions 62 and 63. From then
-on a watch from 63 was answered again, and what 62 and 63 had told was told to
-nobody.
-
-Evidence: lists at revision 60 beside a view at 63 in one balancer's log;
-refused calls from the store's return until the second of those writes, and none
-after it; no balancer of 21 logged either server as draining, all of them logged
-the removal of its entry, revision 69.
-
-Cause: positions in the store's history were compared across a restore as if
-there were one history.
+"""No new flows reach draining servers after the store was restored.
+
+New flows reached a server 5.07 and 5.35 s after the platform had acknowledged
+that it drains, where 5 s are allowed, through balancers in two zones and
+without any fault at the time.
+
+The store was restored from a backup after an outage of 2.2 s. Its revision was
+60, and every balancer knew 63. It refused their watches from 63 (410), and they
+ignored the lists that they then read, 36 a second, as outdated. Two servers
+announced that they drain, as revisions 62 and 63. From then on watches from 63
+were answered again, so none of 21 balancers ever received the new 62 and 63.
+
+The cause was that revisions were compared across a restore as if the store had
+one history.
 """
 
 from notchhoist.testing.opaque.experiment import play
 
 SECONDS = 20.0
 OUTAGE_CALLS = 100
-"""Calls that the outage may cost: four balancers that know the published state
-pause for 0.1 s at least after a failed one, which makes 60 in 1.5 s, and read
-a few lists afterwards."""
+"""Limit of the additional requests to the store because of the outage.
+
+Four balancers wait for at least 0.1 s after a failed request, which makes 60 in
+1.5 s, and read a few lists afterwards."""
 
 
-def test_servers_that_leave_after_a_restore_get_no_new_flows():
+def test_servers_that_drain_after_a_restore_get_no_new_flows():
     world = play("store-from-a-copy", seed=7, seconds=SECONDS)
     assert len(world.judge.leaving) == 2
     assert not world.judge.broken
 
 
-def test_a_store_that_came_back_is_not_asked_without_end():
-    """Lists were read without a pause, 36 a second and reader."""
+def test_a_restored_store_is_not_flooded_with_requests():
+    """Guards against reading lists without a pause, 36 a second per reader."""
     world = play("store-from-a-copy", seed=7, seconds=SECONDS)
     quiet = play("quiet", seed=7, seconds=SECONDS)
     assert world.store.calls < quiet.store.calls + OUTAGE_CALLS
--- a/notchhoist/testing/opaque/troubles.py
+++ b/notchhoist/testing/opaque/troubles.py
@@ -1,4 +1,4 @@
-"""What can be done to a world: kills, power, freezes, cuts, planned stops."""
+"""Faults and planned operations that can be injected into a world."""
 
 from functools import partial
 
@@ -12,40 +12,40 @@
 
 HEARTBEAT_S = 1.2
 HEARTBEATS_MISSED = 3
-"""An entry lapses after so many heartbeats that a server did not send."""
+"""Number of missed heartbeats after which a server's entry expires."""
 
-LEAVE_S = 1.8
-"""How long a balancer forwards after it was told to stop, seconds."""
+DRAIN_S = 1.8
+"""How long a stopping balancer goes on forwarding, seconds."""
 
 
 def kill(world: OpaqueWorld, host: Host, for_s: float = START_S) -> None:
-    """Kills a process; it starts again."""
+    """Kills a host's process, which restarts after a while."""
     world.judge.disturb(world.now)
     host.node = None
     host.frozen = False
     host.generation += 1
-    world.later(for_s, lambda: _revive(world, host))
+    world.later(for_s, lambda: _start_killed(world, host))
 
 
-def _revive(world: OpaqueWorld, host: Host) -> None:
+def _start_killed(world: OpaqueWorld, host: Host) -> None:
     world.judge.disturb(world.now)
     if host.node is None and host.ip in world.hosts:
         world.start(host)
 
 
 def crash_server(world: OpaqueWorld, host: Host) -> None:
-    """Ends a backend server without a word; its entry lapses later."""
+    """Crashes a backend server; its entry expires later."""
     server = host.server
     if server is None:
         return
     server.alive = False
-    lapse_s = HEARTBEAT_S * HEARTBEATS_MISSED
+    expires_in_s = HEARTBEAT_S * HEARTBEATS_MISSED
     key = f"servers/{server.server_id}"
-    world.later(lapse_s, lambda: world.store.remove(key))
+    world.later(expires_in_s, lambda: world.store.remove(key))
 
 
 def power_off(world: OpaqueWorld, host: Host, for_s: float) -> None:
-    """Takes the power from a host; everything on it starts anew."""
+    """Cuts a host's power; when it returns, everything on it restarts."""
     kill(world, host, for_s + START_S)
     host.dark = True
     world.later(for_s, lambda: setattr(host, "dark", False))
@@ -56,42 +56,42 @@
 
 
 def stop_balancer(
-    world: OpaqueWorld, host: Host, leave_s: float = LEAVE_S
+    world: OpaqueWorld, host: Host, drain_s: float = DRAIN_S
 ) -> None:
-    """Stops a balancer as planned; it starts again."""
+    """Stops a balancer as planned and restarts it."""
     if isinstance(host.node, BalancerNode):
         host.node.stop()
-    world.later(leave_s, lambda: _restart(world, host))
+    world.later(drain_s, lambda: _finish_drain(world, host))
 
 
-def _restart(world: OpaqueWorld, host: Host) -> None:
+def _finish_drain(world: OpaqueWorld, host: Host) -> None:
     host.node = None
     host.generation += 1
     world.later(START_S, lambda: world.start(host))
 
 
-def stop_agent(world: OpaqueWorld, host: Host, away_s: float) -> None:
-    """Stops an agent as planned; its backend server lives on."""
+def stop_agent(world: OpaqueWorld, host: Host, down_s: float) -> None:
+    """Stops an agent as planned; its backend server keeps running."""
     if isinstance(host.node, AgentNode):
         world.perform(host, host.node.stop(world.now))
     host.node = None
     host.generation += 1
-    world.later(away_s, lambda: _start_again(world, host))
+    world.later(down_s, lambda: _start_stopped(world, host))
 
 
-def _start_again(world: OpaqueWorld, host: Host) -> None:
+def _start_stopped(world: OpaqueWorld, host: Host) -> None:
     if host.node is None and host.ip in world.hosts:
         world.start(host)
 
 
 def freeze(world: OpaqueWorld, host: Host, for_s: float) -> None:
-    """Lets a process stand still for a while."""
+    """Freezes a process for a while; what it receives meanwhile waits."""
     world.judge.disturb(world.now)
     host.frozen = True
-    world.later(for_s, lambda: _wake(world, host))
+    world.later(for_s, lambda: _unfreeze(world, host))
 
 
-def _wake(world: OpaqueWorld, host: Host) -> None:
+def _unfreeze(world: OpaqueWorld, host: Host) -> None:
     world.judge.disturb(world.now)
     host.frozen = False
     waiting = list(host.waiting)
@@ -102,7 +102,7 @@
 
 
 def retire(world: OpaqueWorld, host: Host, after_s: float = 5.0) -> None:
-    """Drains a backend server and takes its host away."""
+    """Drains a backend server and then removes its host."""
     server = host.server
     if server is None:
         return
@@ -110,49 +110,49 @@
     world.announce(host, server)
     world.judge.on_leaving(server.server_id, world.now)
 
-    def leave() -> None:
+    def remove() -> None:
         server.alive = False
         world.store.remove(f"servers/{server.server_id}")
         host.node = None
         world.hosts.pop(host.ip, None)
 
-    world.later(after_s, leave)
+    world.later(after_s, remove)
 
 
 def evacuate(
     world: OpaqueWorld, zone: str, for_s: float, warm: bool = False
 ) -> None:
-    """Has a zone evacuated for a while; it comes back cold unless warm."""
+    """Evacuates a zone; its servers are cold afterwards unless ``warm``."""
     world.store.put(f"op/evacuate/{zone}", {})
     world.judge.evacuated[zone] = world.now
 
-    def take_back() -> None:
+    def end_evacuation() -> None:
         world.judge.evacuated.pop(zone, None)
         if not warm:
-            _chill(world, zone)
+            _mark_cold(world, zone)
         world.store.remove(f"op/evacuate/{zone}")
 
-    world.later(for_s, take_back)
+    world.later(for_s, end_evacuation)
 
 
-def _chill(world: OpaqueWorld, zone: str) -> None:
-    """Makes a zone's servers cold; their entries say so a heartbeat later."""
+def _mark_cold(world: OpaqueWorld, zone: str) -> None:
+    """Makes a zone's servers cold; each announces it within a heartbeat."""
     for host in world.hosts.values():
         server = host.server
         if server is None or host.zone != zone or not server.alive:
             continue
         server.returned_at = world.now
         delay = world.rng.uniform(0.0, HEARTBEAT_S)
-        world.later(delay, partial(_announce_again, world, host))
+        world.later(delay, partial(_announce, world, host))
 
 
-def _announce_again(world: OpaqueWorld, host: Host) -> None:
+def _announce(world: OpaqueWorld, host: Host) -> None:
     if host.server is not None and host.server.alive:
         world.announce(host, host.server)
 
 
 def restart_server(world: OpaqueWorld, host: Host, down_s: float) -> None:
-    """Ends a backend server; it starts again under its id, knowing nothing."""
+    """Stops a backend server and restarts it under its id, without state."""
     server = host.server
     if server is None:
         return
@@ -168,70 +168,79 @@
 
 
 def overwrite_entry(world: OpaqueWorld, host: Host, value: object) -> None:
-    """Lets another writer overwrite a server's entry until it writes again."""
+    """Overwrites a server's entry until its next heartbeat."""
     if host.server is None:
         return
     world.store.put(f"servers/{host.server.server_id}", value)
-    world.later(HEARTBEAT_S, partial(_announce_again, world, host))
+    world.later(HEARTBEAT_S, partial(_announce, world, host))
 
 
 def split_route(
     world: OpaqueWorld, kind: str, *targets: tuple[str, int]
 ) -> None:
-    """Publishes a configuration that splits a route anew.
+    """Publishes a configuration with new targets for a route.
 
     Args:
         world: The world.
-        kind: Kind of request, by which the route is named.
-        targets: Services with their weights; none where it names its own only.
+        kind: Kind of request, which is also the name of the route.
+        targets: Services with their weights; none for the kind's own service.
     """
     world.judge.permit(kind, [service for service, _ in targets])
     world.workloads = tuple(
         attrs.evolve(item, split=targets) if item.name == kind else item
         for item in world.workloads
     )
-    known = world.store.value("op/config") or {"version": 0}
-    world.publish(known["version"] + 1)
+    current = world.store.value("op/config") or {"version": 0}
+    world.publish(current["version"] + 1)
 
 
 def restore_store(
-    world: OpaqueWorld, copy: StoreCopy, version: int, away_s: float
+    world: OpaqueWorld, backup: StoreCopy, version: int, outage_s: float
 ) -> None:
-    """Takes the store away; it comes back from a copy.
+    """Makes the store unavailable, then restores it from a backup.
 
     Args:
         world: The world.
-        copy: What it comes back with.
-        version: Newest configuration; its operator writes it again.
-        away_s: How long it is away, seconds.
+        backup: Contents that the store is restored to.
+        version: Version of the newest configuration, which the operator
+            publishes again.
+        outage_s: Length of the outage, seconds.
     """
     world.judge.disturb(world.now)
     world.store.down = "silent"
 
-    def come_back() -> None:
+    def end_outage() -> None:
         world.judge.disturb(world.now)
         world.store.down = ""
-        world.store.restore(copy)
+        world.store.restore(backup)
         world.publish(version)
-        write_entries_again(world)
+        rewrite_entries(world)
 
-    world.later(away_s, come_back)
+    world.later(outage_s, end_outage)
 
 
-def write_entries_again(world: OpaqueWorld) -> None:
-    """Lets servers write what the store has lost, within a heartbeat."""
+def rewrite_entries(world: OpaqueWorld) -> None:
+    """Lets servers rewrite lost or outdated entries within a heartbeat."""
     for host in list(world.hosts.values()):
         server = host.server
         if server is None or not server.alive:
             continue
-        held = world.store.value(f"servers/{server.server_id}")
-        if held is None or held["state"] != server.state:
+        stored = world.store.value(f"servers/{server.server_id}")
+        if stored is None or stored["state"] != server.state:
             delay = world.rng.uniform(0.0, HEARTBEAT_S)
-            world.later(delay, partial(_announce_again, world, host))
+            world.later(delay, partial(_announce, world, host))
 
 
 def cut(world: OpaqueWorld, one: str, other: str, for_s: float) -> None:
-    """Cuts two IP numbers apart; the same twice cuts it from the store."""
+    """Cuts the network between two hosts.
+
+    Args:
+        world: The world.
+        one: IP address of a host.
+        other: IP address of the other host; the same address again cuts the
+            host off from the store.
+        for_s: Duration, seconds.
+    """
     world.judge.disturb(world.now)
     pair = frozenset((one, other))
     world.network.cuts.add(pair)
