--- a/notchhoist/testing/opaque/changes.py
+++ b/notchhoist/testing/opaque/changes.py
@@ -179,8 +179,8 @@
     return run
 
 
-def play(seed: int, seconds: float) -> RandomRun:
-    """Plays a run with troubles of all kinds.
+def simulate(seed: int, seconds: float) -> RandomRun:
+    """Simulates a run with troubles of all kinds.
 
     Args:
         seed: Seed of every random draw.
@@ -192,10 +192,10 @@
     return run
 
 
-def play_without_readers(
+def simulate_without_readers(
     seed: int, seconds: float, resent_share: float = LOSS_SHARE
 ) -> RandomRun:
-    """Plays a run whose readers are cut off from the store until its end.
+    """Simulates a run whose readers are cut off from the store until its end.
 
     Args:
         seed: Seed of every random draw.
@@ -231,10 +231,10 @@
 def main() -> int:
     """Entry point; returns 1 if a run broke a guarantee."""
     command = cappa.parse(Command)
-    player = play_without_readers if command.readers else play
+    simulation = simulate_without_readers if command.readers else simulate
     broken = 0
     for seed in range(command.seed, command.seed + command.count):
-        run = player(seed, command.seconds)
+        run = simulation(seed, command.seconds)
         faults = list(run.judge.broken.values())
         broken += bool(faults)
         print(
--- a/notchhoist/testing/opaque/experiment.py
+++ b/notchhoist/testing/opaque/experiment.py
@@ -86,7 +86,7 @@
         world.later(WARM_UP_S, partial(send_request, workload))
 
 
-def play(
+def simulate(
     scenario: str,
     seed: int = 1,
     seconds: float = 20.0,
@@ -97,7 +97,7 @@
     cold_per_s: float = 0.0,
     uses: Mechanisms = ALL,
 ) -> OpaqueWorld:
-    """Runs a scenario and returns its world.
+    """Simulates a scenario and returns its world.
 
     Args:
         scenario: Name of the scenario.
@@ -157,7 +157,7 @@
     if command.scenario not in SCENARIOS:
         print(f"scenario: one of {', '.join(SCENARIOS)}", file=sys.stderr)
         return 2
-    world = play(
+    world = simulate(
         command.scenario,
         command.seed,
         command.seconds,
--- a/notchhoist/testing/opaque/restores.py
+++ b/notchhoist/testing/opaque/restores.py
@@ -72,11 +72,13 @@
             self.world.later(at, partial(self.when_store_up, action))
         at = self.rng.uniform(4.0, 8.0)
         while at < SECONDS - 4.0:
-            backup_age, outage = (
+            backup_age_s, outage_s = (
                 self.rng.uniform(*r) for r in (BACKUP_AGE_S, OUTAGE_S)
             )
-            self.world.later(at, partial(self.restore, backup_age, outage))
-            at += backup_age + outage + self.rng.uniform(*RESTORE_INTERVAL_S)
+            self.world.later(at, partial(self.restore, backup_age_s, outage_s))
+            at += (
+                backup_age_s + outage_s + self.rng.uniform(*RESTORE_INTERVAL_S)
+            )
 
     def when_store_up(self, action: Callable[[], None]) -> None:
         """Runs an operation as soon as the store is up."""
@@ -133,8 +135,8 @@
 
     def kill_balancer(self) -> None:
         """Kills a balancer, which restarts later."""
-        entries = [host for host in self._hosts() if not host.service]
-        troubles.kill(self.world, self.rng.choice(entries))
+        balancers = [host for host in self._hosts() if not host.service]
+        troubles.kill(self.world, self.rng.choice(balancers))
 
     def kill_agent(self) -> None:
         """Kills an agent; its backend server keeps running."""
@@ -146,12 +148,12 @@
 
     # The store.
 
-    def restore(self, backup_age: float, outage: float) -> None:
+    def restore(self, backup_age_s: float, outage_s: float) -> None:
         """Takes a backup now and restores the store from it after an outage.
 
         Args:
-            backup_age: Age of the backup when the outage starts, seconds.
-            outage: Length of the outage, seconds.
+            backup_age_s: Age of the backup when the outage starts, seconds.
+            outage_s: Length of the outage, seconds.
         """
         world = self.world
         backup = world.store.copy()
@@ -167,8 +169,8 @@
             troubles.rewrite_entries(world)
             self._rewrite_lost()
 
-        world.later(backup_age, begin_outage)
-        world.later(backup_age + outage, end_outage)
+        world.later(backup_age_s, begin_outage)
+        world.later(backup_age_s + outage_s, end_outage)
 
     def _rewrite_lost(self) -> None:
         """Lets the operator rewrite what was lost, and dead entries expire."""
@@ -237,8 +239,8 @@
                 yield f"{name}: {server_id} leaves: {draining}"
 
 
-def play(seed: int, names_era: bool = True) -> RandomRun:
-    """Plays the run of a seed.
+def simulate(seed: int, names_era: bool = True) -> RandomRun:
+    """Simulates the run of a seed.
 
     Args:
         seed: Seed of every random draw.
@@ -276,7 +278,7 @@
     command = cappa.parse(Command)
     broken = 0
     for seed in range(command.seed, command.seed + command.count):
-        run = play(seed, not command.unnamed)
+        run = simulate(seed, not command.unnamed)
         faults = list(run.faults())
         broken += bool(faults)
         worth = run.world.judge.worth(run.world.workloads)
--- a/notchhoist/testing/opaque/scenarios.py
+++ b/notchhoist/testing/opaque/scenarios.py
@@ -127,8 +127,8 @@
 def cut_host(world: OpaqueWorld) -> None:
     """Cuts the network between one backend server's host and all balancers."""
     host = _server_hosts(world)[0]
-    for entry in _balancer_hosts(world):
-        troubles.cut(world, host.ip, entry.ip, 5.0)
+    for balancer in _balancer_hosts(world):
+        troubles.cut(world, host.ip, balancer.ip, 5.0)
 
 
 def freeze_agents(world: OpaqueWorld) -> None:
--- a/notchhoist/testing/opaque/tests/hard_load.py
+++ b/notchhoist/testing/opaque/tests/hard_load.py
@@ -65,7 +65,7 @@
     return world
 
 
-def play(world, seconds):
+def simulate(world, seconds):
     """Runs the callers for a time, then waits for their last requests."""
     start_traffic(world, WARM_UP_S + seconds)
     world.run_until(WARM_UP_S + seconds + 4.0)
--- a/notchhoist/testing/opaque/tests/test_changes.py
+++ b/notchhoist/testing/opaque/tests/test_changes.py
@@ -11,16 +11,16 @@
 
 
 def test_acknowledged_changes_are_in_time_while_readers_are_cut_off():
-    assert not faults(changes.play_without_readers(121, SECONDS), "LATE")
+    assert not faults(changes.simulate_without_readers(121, SECONDS), "LATE")
 
 
 def test_changes_are_in_time_when_store_responses_are_retransmitted():
-    run = changes.play_without_readers(1, SECONDS, resent_share=1.0)
+    run = changes.simulate_without_readers(1, SECONDS, resent_share=1.0)
     assert not faults(run, "LATE")
 
 
 def test_balancers_never_overestimate_how_fresh_their_state_is():
-    assert not faults(changes.play(2, SECONDS), "UNTRUE")
+    assert not faults(changes.simulate(2, SECONDS), "UNTRUE")
 
 
 def test_balancers_cut_off_from_the_store_learn_of_changes_in_time():
--- a/notchhoist/testing/opaque/tests/test_far_zones.py
+++ b/notchhoist/testing/opaque/tests/test_far_zones.py
@@ -7,7 +7,7 @@
 from notchhoist.flows.model.mechanisms import ALL
 from notchhoist.testing.opaque import troubles
 from notchhoist.testing.opaque.experiment import WARM_UP_S
-from notchhoist.testing.opaque.tests.hard_load import ZONES, latency_s, play
+from notchhoist.testing.opaque.tests.hard_load import ZONES, latency_s, simulate
 from notchhoist.testing.opaque.traffic import Workload
 from notchhoist.testing.opaque.world import OpaqueWorld
 
@@ -48,7 +48,7 @@
 
 def outcome(**fields):
     """Returns the world, bytes between zones and the median latency."""
-    world = play(make_world(**fields), SECONDS)
+    world = simulate(make_world(**fields), SECONDS)
     assert not world.judge.broken
     return world, world.network.zone_bytes, latency_s(world, "order", 50)
 
@@ -73,7 +73,7 @@
     return sum(local) / len(local)
 
 
-def play_new_flows(kind, uses, seed):
+def local_share_after_power_off(kind, uses, seed):
     """Cuts the power of every second server, so that callers reopen flows."""
     world = make_world(
         kind=kind, long_flows=True, load=0.3, uses=uses, seed=seed
@@ -83,7 +83,7 @@
         world.later(
             WARM_UP_S + 3.0, lambda h=host: troubles.power_off(world, h, 0.4)
         )
-    play(world, 5.0)
+    simulate(world, 5.0)
     assert not world.judge.broken
     return local_share(world)
 
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
 def test_reopened_long_flows_stay_in_the_local_zone(kind):
     before, now = (
-        [play_new_flows(kind, uses, seed) for seed in (1, 3)]
+        [local_share_after_power_off(kind, uses, seed) for seed in (1, 3)]
         for uses in (WITHOUT_DISTANCES, ALL)
     )
     assert sum(now) > sum(before) + 0.05
@@ -128,6 +128,6 @@
     for host in local:
         if host.service:
             world.later(WARM_UP_S + 2.0, lambda h=host: troubles.kill(world, h))
-    play(world, SECONDS)
+    simulate(world, SECONDS)
     assert not world.judge.broken
     assert world.judge.worth(world.workloads) > 0.9
--- a/notchhoist/testing/opaque/tests/test_hard_load.py
+++ b/notchhoist/testing/opaque/tests/test_hard_load.py
@@ -10,8 +10,8 @@
     latency_s,
     make_long_flow_world,
     make_world,
-    play,
     queued_share,
+    simulate,
 )
 
 HALF_LOAD = 0.5
@@ -27,7 +27,7 @@
     60% of the requests were queued then, as a balancer's state of a server was
     four times as old as a request takes.
     """
-    world = play(make_world(HALF_LOAD, seed), SECONDS)
+    world = simulate(make_world(HALF_LOAD, seed), SECONDS)
     assert queued_share(world) < 0.1
     assert not world.judge.broken
 
@@ -39,7 +39,7 @@
         "reports": REPORTED_LOAD,
         "random": BASELINE,
     }.items():
-        world = play(make_world(HALF_LOAD, uses=uses), SECONDS)
+        world = simulate(make_world(HALF_LOAD, uses=uses), SECONDS)
         shares[name] = queued_share(world), latency_s(world, "listing", 90)
     assert shares["new"] < min(shares["reports"], shares["random"])
     assert shares["new"][1] < min(shares["reports"][1], shares["random"][1])
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("trouble", [_kill_balancers, _kill_agents])
 def test_restarts_with_messages_in_transit_break_nothing(trouble):
-    world = play(make_world(HALF_LOAD, trouble=trouble), SECONDS)
+    world = simulate(make_world(HALF_LOAD, trouble=trouble), SECONDS)
     assert not world.judge.broken
     assert world.judge.worth(world.workloads) > 0.9
 
@@ -68,7 +68,7 @@
     off_at = WARM_UP_S + 2.0
     for host in list(world.hosts.values()):
         world.later(off_at, lambda h=host: troubles.power_off(world, h, 1.0))
-    play(world, SECONDS)
+    simulate(world, SECONDS)
     assert not world.judge.broken
     counters = [
         host.node.board.records.counters
--- a/notchhoist/testing/opaque/tests/test_leaving.py
+++ b/notchhoist/testing/opaque/tests/test_leaving.py
@@ -3,7 +3,7 @@
 from notchhoist.flows.agent.opening_gate import OpeningGate
 from notchhoist.flows.decisions import server_selection
 from notchhoist.testing.opaque import troubles
-from notchhoist.testing.opaque.experiment import make_world, play
+from notchhoist.testing.opaque.experiment import make_world, simulate
 
 
 def ignore_draining(servers, now):
@@ -17,7 +17,7 @@
         monkeypatch.setattr(
             OpeningGate, "is_past_drain_cutoff", lambda *_: False
         )
-    world = play("release", seed=7, seconds=12.0)
+    world = simulate("release", seed=7, seconds=12.0)
     return [text for text in world.judge.broken if "DRAIN" in text]
 
 
--- a/notchhoist/testing/opaque/tests/test_links.py
+++ b/notchhoist/testing/opaque/tests/test_links.py
@@ -1,6 +1,6 @@
 """Low-bandwidth links with and without pacing at the balancers."""
 
-from notchhoist.testing.opaque.experiment import play
+from notchhoist.testing.opaque.experiment import simulate
 
 MBPS = 2.0
 SECONDS = 8.0
@@ -10,10 +10,10 @@
 
 
 def outcome(paced, seed=3):
-    world = play("quiet", seed, SECONDS, link_mbps=MBPS, paced=paced)
-    entries = [host for host in world.hosts.values() if not host.service]
-    lost = sum(host.link.lost for host in entries)
-    sent = sum(host.link.sent for host in entries)
+    world = simulate("quiet", seed, SECONDS, link_mbps=MBPS, paced=paced)
+    balancers = [host for host in world.hosts.values() if not host.service]
+    lost = sum(host.link.lost for host in balancers)
+    sent = sum(host.link.sent for host in balancers)
     assert not world.judge.broken
     worth = world.judge.worth(world.workloads)
     return lost / (lost + sent), world.judge.tallies["score-upload"], worth
@@ -40,7 +40,7 @@
 
 def test_pacing_changes_nothing_on_fast_links():
     worlds = [
-        play("quiet", 3, 3.0, link_mbps=1000.0, paced=paced)
+        simulate("quiet", 3, 3.0, link_mbps=1000.0, paced=paced)
         for paced in (False, True)
     ]
     first, second = (world.judge.tallies for world in worlds)
--- a/notchhoist/testing/opaque/tests/test_page.py
+++ b/notchhoist/testing/opaque/tests/test_page.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from notchhoist.testing.opaque.experiment import play
+from notchhoist.testing.opaque.experiment import simulate
 from notchhoist.testing.opaque.page import chart, page_text
 from notchhoist.testing.opaque.record import (
     make_record,
@@ -15,7 +15,7 @@
 
 @pytest.fixture(scope="module")
 def record():
-    return make_record("a run <1>", play("kill-agents", 3, 6.0))
+    return make_record("a run <1>", simulate("kill-agents", 3, 6.0))
 
 
 def test_a_record_survives_writing_and_reading(record):
--- a/notchhoist/testing/opaque/tests/test_restores.py
+++ b/notchhoist/testing/opaque/tests/test_restores.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from notchhoist.testing.opaque.restores import play
+from notchhoist.testing.opaque.restores import simulate
 
 
 @pytest.mark.parametrize("seed", [5, 1004, 1006, 1009])
@@ -11,9 +11,9 @@
 
     8 runs of 24 had faults then, among them these seeds.
     """
-    assert not list(play(seed).faults())
+    assert not list(simulate(seed).faults())
 
 
 @pytest.mark.parametrize("seed", [5, 8])
 def test_restores_are_noticed_when_the_store_names_no_era(seed):
-    assert not list(play(seed, names_era=False).faults())
+    assert not list(simulate(seed, names_era=False).faults())
--- a/notchhoist/testing/opaque/tests/test_scenarios.py
+++ b/notchhoist/testing/opaque/tests/test_scenarios.py
@@ -3,7 +3,7 @@
 import pytest
 
 from notchhoist.flows.model.mechanisms import ALL
-from notchhoist.testing.opaque.experiment import play
+from notchhoist.testing.opaque.experiment import simulate
 from notchhoist.testing.opaque.scenarios import SCENARIOS
 
 SECONDS = 10.0
@@ -20,19 +20,19 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 def test_a_scenario_breaks_no_guarantee(scenario):
-    world = play(scenario, seed=7, seconds=SECONDS)
+    world = simulate(scenario, seed=7, seconds=SECONDS)
     assert not world.judge.broken
     least = MIN_WORTH.get(scenario, 0.98)
     assert world.judge.worth(world.workloads) >= least
 
 
 def test_routers_that_move_few_flows_break_no_guarantee():
-    world = play("kill-balancers", seed=3, seconds=SECONDS, steady=True)
+    world = simulate("kill-balancers", seed=3, seconds=SECONDS, steady=True)
     assert not world.judge.broken
 
 
 def test_planned_stops_fail_no_request():
-    world = play("roll-balancers", seed=5, seconds=SECONDS)
+    world = simulate("roll-balancers", seed=5, seconds=SECONDS)
     for tally in world.judge.tallies.values():
         assert tally.refused == tally.failed == 0
     assert not world.judge.resets
@@ -41,12 +41,12 @@
 def test_a_search_at_one_service_resets_flows_that_outlive_a_change():
     """The judge notices searches that follow only the current weights."""
     narrow = ALL.without(["splits"])
-    world = play("change-weights", seed=7, seconds=SECONDS, uses=narrow)
+    world = simulate("change-weights", seed=7, seconds=SECONDS, uses=narrow)
     assert any("FLOW" in text for text in world.judge.broken)
 
 
 def test_a_run_repeats():
-    first, second = (play("kill-agents", 11, 3.0) for _ in range(2))
+    first, second = (simulate("kill-agents", 11, 3.0) for _ in range(2))
     assert first.network.zone_bytes == second.network.zone_bytes
     assert first.judge.worth(first.workloads) == second.judge.worth(
         second.workloads
@@ -55,12 +55,12 @@
 
 def test_flows_are_spread_evenly():
     """With hashing alone the busiest server had 2.5 times the mean."""
-    world = play("quiet", seed=2, seconds=SECONDS)
+    world = simulate("quiet", seed=2, seconds=SECONDS)
     assert world.judge.imbalance("hallbook") < 1.35
 
 
 def test_the_store_is_called_seldom():
-    world = play("quiet", seed=2, seconds=SECONDS)
+    world = simulate("quiet", seed=2, seconds=SECONDS)
     assert world.store.calls <= 50
 
 
@@ -69,7 +69,7 @@
 
     Every response was late for two seconds then.
     """
-    world = play("power-off", seed=4, seconds=SECONDS)
+    world = simulate("power-off", seed=4, seconds=SECONDS)
     tally = world.judge.tallies["slot-booking"]
     assert tally.in_time > 0.7 * tally.asked
 
@@ -85,7 +85,7 @@
     Without that, at 3 flows a second, power-off exceeds it 237 times, release
     27 times, and reborn-servers 29 times.
     """
-    world = play(scenario, seed=7, seconds=SECONDS, cold_per_s=per_s)
+    world = simulate(scenario, seed=7, seconds=SECONDS, cold_per_s=per_s)
     assert not world.judge.broken
     refused_after_s = [
         ending.latency_s
@@ -96,6 +96,6 @@
 
 
 def test_an_evacuation_fails_no_request():
-    world = play("evacuate", seed=7, seconds=SECONDS)
+    world = simulate("evacuate", seed=7, seconds=SECONDS)
     for tally in world.judge.tallies.values():
         assert tally.refused == tally.failed == 0
--- a/notchhoist/testing/opaque/troubles.py
+++ b/notchhoist/testing/opaque/troubles.py
@@ -110,13 +110,13 @@
     world.announce(host, server)
     world.judge.on_leaving(server.server_id, world.now)
 
-    def remove() -> None:
+    def remove_host() -> None:
         server.alive = False
         world.store.remove(f"servers/{server.server_id}")
         host.node = None
         world.hosts.pop(host.ip, None)
 
-    world.later(after_s, remove)
+    world.later(after_s, remove_host)
 
 
 def evacuate(
