--- a/notchhoist/testing/opaque/tests/test_restores.py
+++ b/notchhoist/testing/opaque/tests/test_restores.py
@@ -9,7 +9,7 @@
 def test_every_balancer_knows_the_contents_of_the_store_at_the_end(seed):
     """Guards against comparing revisions without the store's era.
 
-    8 runs of 24 had faults then, among them these seeds.
+    8 runs of 24 had faults then, and so had the runs of these seeds.
     """
     assert not list(simulate(seed).faults())
 
