--- a/notchhoist/testing/opaque/callers.py
+++ b/notchhoist/testing/opaque/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep flows or open one a request, and retry by the rules."""
+"""Models of callers, which reuse flows or open one for each request."""
 
 import random
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 @attrs.define(eq=False)
 class Pending:
-    """A request that its caller waits for."""
+    """A request that waits for its answer; ``over`` once it has an outcome."""
 
     number: int
     workload: Workload
@@ -38,7 +38,7 @@
 
 @attrs.define(eq=False)
 class Flow:
-    """A flow at the caller; ``end`` is None until it has opened."""
+    """A flow at its caller; ``end`` is None until the flow is open."""
 
     own: Address
     service: Address
@@ -56,15 +56,16 @@
     Attributes:
         zone: Name of the zone.
         hosts: Their IP numbers.
-        rng: Source of every draw.
-        judge: Sees what they see.
+        rng: Source of random draws.
+        judge: Records what the callers observe.
         send: Sends a packet to the routers.
-        later: Calls back after a delay.
-        register: Makes the workload of a request known to the servers.
-        is_alive: Tells whether some server holds a flow.
+        later: Schedules an action after a delay, seconds.
+        register: Numbers a request and tells the servers its workload.
+        is_alive: Tells whether a running server holds a flow.
         flows: Flows by the caller's address.
-        idle: Open flows without a request, by host and kind.
-        next_port: The next flow's port.
+        idle: Open flows without a pending request, by host and kind of
+            request.
+        next_port: Port of the newest flow.
     """
 
     zone: str
@@ -80,7 +81,11 @@
     next_port: int = FIRST_PORT
 
     def ask(self, workload: Workload, now: float) -> None:
-        """Begins a request."""
+        """Sends a new request on an idle flow or a new one.
+
+        A request is retried where its flow did not open or the server
+        rejected it; after a reset only if it is safe to repeat.
+        """
         mean = workload.work_ms
         work_ms = max(1, int(self.rng.gammavariate(4, mean / 4)))
         pending = Pending(self.register(workload), workload, now, work_ms)
@@ -135,7 +140,7 @@
             end.write(text, now)
 
     def on_frame(self, frame: Frame, now: float) -> None:
-        """Takes a packet for one of the callers."""
+        """Handles a packet for one of the callers."""
         flow = self.flows.get(frame.dst)
         if flow is None or flow.closed:
             return
@@ -149,7 +154,7 @@
 
     def _on_accepted(self, flow: Flow, frame: Frame, now: float) -> None:
         if flow.end is not None:
-            return  # Another server's acceptance, or a copy.
+            return  # Redundant acceptance or retransmission.
         flow.end = StreamEnd(
             lambda flags, seq, ack, data: self.send(
                 Frame(flow.own, flow.service, flags, seq, ack, data)
@@ -242,7 +247,7 @@
         self.flows.pop(flow.own, None)
 
     def tick(self, now: float) -> None:
-        """Sends copies that are due."""
+        """Sends due retransmissions and acknowledgements."""
         for flow in list(self.flows.values()):
             if flow.end is not None:
                 flow.end.tick(now)
--- a/notchhoist/testing/opaque/config_judge.py
+++ b/notchhoist/testing/opaque/config_judge.py
@@ -1,4 +1,4 @@
-"""What must hold of the configuration at every balancer, at every moment."""
+"""Checks the invariants of the configuration at every balancer."""
 
 import bisect
 import json
@@ -14,7 +14,8 @@
 from notchhoist.testing.opaque.world import OpaqueWorld
 
 APPLY_S = 3.0
-"""A configuration is in force so long after its acknowledgement, seconds."""
+"""Propagation deadline: time from the store's acknowledgement until every
+balancer must have applied a configuration, seconds."""
 
 LOOK_EVERY_S = 0.02
 
@@ -24,8 +25,8 @@
     """A configuration that the store has acknowledged.
 
     Attributes:
-        at: When, seconds.
-        version: Its version.
+        at: When the store acknowledged it, seconds.
+        version: Version of the configuration.
         digest: Digest of its routes.
     """
 
@@ -36,15 +37,16 @@
 
 @attrs.define(eq=False)
 class ConfigurationJudge:
-    """Looks at every balancer's configuration.
+    """Checks every balancer's configuration periodically.
 
     Attributes:
-        world: The world.
-        published: The configurations, in their order.
-        disturbed: Until when each host was disturbed, seconds.
-        newest: Newest version in force in each life of a process.
-        broken: What was broken, each fault of a life once.
-        oldest_s: How late a configuration came into force at most in calm.
+        world: The simulated world.
+        published: The configurations in order of publication.
+        disturbed: When the last disturbance of each host ends, seconds.
+        newest: Newest version in force by host and process generation.
+        broken: Violations, each at most once for a process generation.
+        oldest_s: Greatest age of a published version that a balancer had not
+            applied yet, outside of disturbances, seconds.
     """
 
     world: OpaqueWorld
@@ -55,7 +57,7 @@
     oldest_s: float = 0.0
 
     def start(self) -> None:
-        """Begins to look, again and again."""
+        """Checks all balancers now, and again at each interval."""
         self._look()
         self.world.later(LOOK_EVERY_S, self.start)
 
@@ -68,12 +70,12 @@
         self.published.append(known)
 
     def disturb(self, ip: str, for_s: float = 0.0) -> None:
-        """Notes that a host is disturbed for a time."""
+        """Records that a host is disturbed for a time, seconds."""
         until = self.world.now + for_s
         self.disturbed[ip] = max(self.disturbed.get(ip, until), until)
 
     def is_in_touch(self, ip: str) -> bool:
-        """Tells whether bounds of time hold for a host."""
+        """Tells whether deadlines hold for a host."""
         since = self.world.now - self.disturbed.get(ip, float("-inf"))
         return since >= CONTACT_S
 
@@ -88,7 +90,7 @@
     def _faults(
         self, host: Host, node: BalancerNode
     ) -> Iterator[tuple[str, int, str]]:
-        """Yields the faults that show now: kind, version and detail."""
+        """Yields the current violations: rule, version and detail."""
         board, now = node.board, self.world.now
         version = board.table.version if board.table else 0
         newest = self._newest_at(board.confirmed_at)
@@ -115,6 +117,6 @@
                 yield "LATE", missed, f"{missed} after {late_s:.3f} s"
 
     def _newest_at(self, when: float) -> Published | None:
-        """Returns the newest configuration that was published by a time."""
+        """Returns the newest configuration published before a time."""
         place = bisect.bisect_left(self.published, when, key=lambda p: p.at)
         return self.published[place - 1] if place else None
--- a/notchhoist/testing/opaque/frames.py
+++ b/notchhoist/testing/opaque/frames.py
@@ -1,7 +1,7 @@
-"""Packets as the ends of flows make and check them.
+"""Packets as the ends of a flow encode and verify them.
 
-Written apart from ``notchhoist.platform.packets``, so that a mistake there does
-not hide itself here.
+This codec is independent of ``notchhoist.platform.packets``, so that a fault
+there does not cancel out in the tests.
 """
 
 import struct
@@ -33,10 +33,11 @@
         dst: Address of the other end.
         flags: Bits of ``SYN``, ``RST``, ``FIN``, ``BOUNCED`` and ``ACK``.
         seq: Sequence number.
-        ack: Next number expected; for a SYN, how many copies went before.
-        data: The data.
-        echo: What the system wrote for itself.
-        checksum: The keyed sum.
+        ack: Next sequence number expected; in a SYN, the number of earlier
+            transmissions of it.
+        data: Payload.
+        echo: Field for the load balancer's own use; the ends ignore it.
+        checksum: Keyed checksum.
     """
 
     src: Address
@@ -69,18 +70,18 @@
 
 
 def keyed_sum(frame: Frame, key: bytes) -> int:
-    """Returns the sum over everything but echo, padding and ``BOUNCED``."""
+    """Returns the checksum over all but echo, padding and ``BOUNCED``."""
     covered = _parts(frame, 0, frame.flags & ~BOUNCED, 0)
     return zlib.crc32(covered, zlib.crc32(key))
 
 
 def encode_frame(frame: Frame, key: bytes) -> bytes:
-    """Returns the bytes of a packet with its sum."""
+    """Encodes a packet with its keyed checksum."""
     return _parts(frame, frame.echo, frame.flags, keyed_sum(frame, key))
 
 
 def decode_frame(raw: bytes) -> Frame:
-    """Reads a packet.
+    """Decodes a packet without verifying its checksum.
 
     Examples:
         >>> frame = Frame(("10.0.0.1", 7), ("10.0.0.2", 8), SYN, seq=5)
@@ -92,7 +93,7 @@
     )
     data = raw[HEAD.size :]
     if len(data) != size:
-        raise ValueError(f"{size} bytes of data announced, {len(data)} came")
+        raise ValueError(f"header announces {size} bytes, got {len(data)}")
     return Frame(
         (_host(src), sport),
         (_host(dst), dport),
@@ -106,5 +107,5 @@
 
 
 def is_genuine(frame: Frame, key: bytes) -> bool:
-    """Tells whether a packet is as its sender wrote it."""
+    """Tells whether a packet has the checksum of its content."""
     return frame.checksum == keyed_sum(frame, key)
--- a/notchhoist/testing/opaque/hosts.py
+++ b/notchhoist/testing/opaque/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of the stand-in."""
+"""Hosts of the simulation."""
 
 from collections.abc import Callable
 
@@ -12,32 +12,35 @@
 from notchhoist.testing.opaque.servers import ServerModel
 
 MISSES = 2
-"""Unanswered questions after which routers leave a balancer alone."""
+"""Failed readiness probes in a row after which routers avoid a balancer."""
 
 START_S = 0.3
-"""From power to serving, seconds; about what a thin entry host takes."""
+"""Time from power-on to serving, seconds; about that of an entry host with
+little CPU."""
 
 
 @attrs.define(eq=False)
 class Host:
-    """A host with one process of ours, and perhaps a backend server.
+    """A host that runs a balancer, or an agent beside a backend server.
 
     Attributes:
         name: Its name.
         ip: Its IP number.
         zone: Its availability zone.
         service: Service of its backend server; empty on entry hosts.
-        node: The process, or None while it is down.
+        node: Its daemon, or None while the process is down.
         server: The backend server, or None.
-        dark: The host has no power.
-        frozen: The process stands still; what comes waits.
-        waiting: What came meanwhile.
-        generation: Counts the starts of the process.
-        misses: Unanswered questions of the routers in a row.
-        feeder: A balancer's feeder from the store.
-        link: Its link.
-        looks: Somebody looks soon whether its link has room.
-        calling: Number of its call to the store that is under way.
+        dark: The host is without power.
+        frozen: The process is stalled; events for it are queued.
+        waiting: Events that are queued while the process is stalled.
+        generation: Number of starts of the process; events of an earlier
+            generation are dropped.
+        misses: Failed readiness probes of the routers in a row.
+        feeder: Feeds a balancer from the store.
+        link: Its network link.
+        looks: The next check of the link's scheduler is already scheduled.
+        calling: Number of its current request to the store; responses to
+            another number are ignored.
     """
 
     name: str
@@ -57,7 +60,7 @@
     calling: int = 0
 
     def reach(self) -> ConnectResult:
-        """Returns what a connection to its process meets."""
+        """Returns the result of a connection attempt to its process."""
         if self.dark:
             return ConnectResult.SILENT
         return (
--- a/notchhoist/testing/opaque/judge.py
+++ b/notchhoist/testing/opaque/judge.py
@@ -1,4 +1,4 @@
-"""What must hold, judged by what callers and backend servers saw."""
+"""Checks invariants by the observations of callers and backend servers."""
 
 import collections
 from collections.abc import Iterable
@@ -11,24 +11,24 @@
 HIGHEST_US = 60_000_000
 DISRUPTIONS_KEPT = 10_000
 EVACUATE_S = 3.0
-"""A zone that is evacuated must get no new flow after this, seconds."""
+"""Time after which an evacuated zone must get no new flows, seconds."""
 
 DRAIN_S = 3.0
-"""A server that has said that it leaves must get no new flow after this,
-seconds."""
+"""Time after which a draining server must get no new flows, seconds."""
 
 COLD_OVERAGE = 1.5
 COLD_SLACK = 5.0
-"""A cold server may get so many times what it bears, and so many besides, in
-any second."""
+"""In any second a cold server may get its cold bound times ``COLD_OVERAGE``
+plus ``COLD_SLACK`` new flows."""
 
 CONTACT_S = 4.0
-"""A reset of a living flow is excused so long after a disruption."""
+"""Time after a disruption in which deadlines do not hold and resets of open
+flows are allowed, seconds."""
 
 
 @attrs.define(eq=False)
 class Tally:
-    """The outcomes of one kind of request."""
+    """Outcome counts and latencies of one kind of request."""
 
     asked: int = 0
     in_time: int = 0
@@ -42,14 +42,14 @@
 
 @attrs.frozen
 class Ending:
-    """How one request ended.
+    """The outcome of one request.
 
     Attributes:
-        asked_at: When its caller asked, seconds.
+        asked_at: When its caller sent it, seconds.
         zone: Availability zone of the caller.
-        kind: Kind of request.
+        kind: Name of the kind of request.
         outcome: ``in_time``, ``late``, ``refused`` or ``failed``.
-        latency_s: Time to the answer, seconds; 0 where none came.
+        latency_s: Time to the answer, seconds; 0 without an answer.
     """
 
     asked_at: float
@@ -61,24 +61,25 @@
 
 @attrs.define(eq=False)
 class Judge:
-    """Collects what was seen.
+    """Records observations and the rules that they break.
 
     Attributes:
         tallies: Outcomes by kind of request.
-        broken: What must not happen, with the time.
-        runs: How often each once-only request ran.
-        permitted: Services that a split has named, by kind of request.
-        arrivals: Requests by service and server.
-        resets: Resets of living flows, by excuse.
-        endings: How each request ended.
-        disruptions: When something was disturbed, seconds.
-        last_disruption: When something was last disturbed, seconds.
+        broken: Broken rules, each with time and detail.
+        runs: Number of executions of each non-repeatable request.
+        permitted: Services that splits have named, by kind of request.
+        arrivals: Number of requests by service and server.
+        resets: Number of resets of open flows by cause.
+        endings: Outcomes of all requests.
+        disruptions: Times of unplanned disruptions, seconds.
+        last_disruption: When the last unplanned disruption was, seconds.
         core_disturbed_at: When the store was last disturbed, seconds.
-        planned: Whether only planned work has happened so far.
-        evacuated: Zones that are evacuated, and since when.
-        leaving: Servers that have said that they leave, and since when.
-        cold_per_s: New flows that a cold server bears in a second; 0 for all.
-        cold_openings: New flows that each cold server got in the last second.
+        evacuated: Evacuated zones, and since when.
+        leaving: Draining servers, and since when.
+        cold_per_s: Cold bound of a server in slow start, new flows a second;
+            0 for no limit.
+        cold_openings: Times of the new flows that each cold server got in the
+            last second.
     """
 
     tallies: dict[str, Tally] = attrs.Factory(
@@ -105,27 +106,27 @@
     )
 
     def disturb(self, now: float) -> None:
-        """Notes a disruption that is not planned."""
+        """Records an unplanned disruption."""
         self.last_disruption = max(self.last_disruption, now)
         if len(self.disruptions) < DISRUPTIONS_KEPT:
             self.disruptions.append(now)
 
     def is_calm(self, now: float) -> bool:
-        """Tells whether bounds of time hold."""
+        """Tells whether deadlines hold: no recent disruption."""
         return now - self.last_disruption >= CONTACT_S
 
     def break_rule(self, rule: str, detail: str, now: float) -> None:
-        """Notes that something happened that must not."""
+        """Records a broken rule."""
         self.broken.append(f"{now:.3f} {rule}: {detail}")
 
     def permit(self, kind: str, services: Iterable[str]) -> None:
-        """Notes that a configuration sends a kind of request to services."""
+        """Records that a configuration routes a kind of request to services."""
         self.permitted[kind].update(services)
 
     def on_run(
         self, number: int, workload: Workload, service: str, now: float
     ) -> None:
-        """Notes that a backend server begins to work on a request."""
+        """Records that a backend server starts to run a request."""
         permitted = {workload.service, *self.permitted[workload.name]}
         if service not in permitted:
             self.break_rule("ROUTE", f"{number} ran at {service}", now)
@@ -138,7 +139,7 @@
     def on_opening(
         self, server_id: str, zone: str, cold: bool, now: float
     ) -> None:
-        """Notes that a backend server gets a new flow."""
+        """Records that a backend server got a new flow."""
         evacuated_s = self._calm_for(self.evacuated.get(zone, now), now)
         if evacuated_s > EVACUATE_S:
             self.break_rule("EVAC", f"{server_id} in {zone}", now)
@@ -156,26 +157,27 @@
             self.break_rule("FAILBACK", f"{len(recent)} at {server_id}", now)
 
     def on_leaving(self, server_id: str, now: float) -> None:
-        """Notes that the store has acknowledged that a server leaves.
+        """Records that the store acknowledged that a server drains.
 
-        Nobody has to know in time what it took in while it was disturbed.
+        A change that the store accepts while it is disturbed has no
+        propagation deadline, so it is not recorded.
         """
         if self._is_core_calm(now):
             self.leaving[server_id] = now
 
     def on_started(self, server_id: str) -> None:
-        """Notes that a server starts; one of its id that left has ended."""
+        """Records that a server started; an earlier incarnation has exited."""
         self.leaving.pop(server_id, None)
 
     def _is_core_calm(self, now: float) -> bool:
         return now - self.core_disturbed_at >= CONTACT_S
 
     def _calm_for(self, since: float, now: float) -> float:
-        """Returns for how long something has held in calm, seconds."""
+        """Returns how long a state has held without a disruption, seconds."""
         return now - max(since, self.last_disruption)
 
     def on_reset(self, alive: bool, by_server: bool, now: float) -> None:
-        """Notes a reset that a caller got on a flow that was open."""
+        """Records a reset that a caller got on an open flow."""
         if by_server:
             self.resets["by the server"] += 1
         elif not alive:
@@ -194,7 +196,7 @@
         asked_at: float,
         zone: str,
     ) -> None:
-        """Notes how a request ended for its caller."""
+        """Records the outcome of a request for its caller."""
         tally = self.tallies[workload.name]
         if outcome == "answered":
             outcome = "in_time" if latency_s <= workload.aim_s else "late"
@@ -204,7 +206,7 @@
         self.endings.append(ending)
 
     def worth(self, workloads: tuple[Workload, ...]) -> float:
-        """Returns the credit earned as a share of the credit owed."""
+        """Returns the credit earned as a share of the possible credit."""
         earned = owed = 0.0
         for workload in workloads:
             tally = self.tallies[workload.name]
@@ -214,6 +216,6 @@
         return earned / owed if owed else 1.0
 
     def imbalance(self, service: str) -> float:
-        """Returns the busiest server's arrivals over the mean."""
+        """Returns the ratio of the busiest server's arrivals to the mean."""
         counts = list(self.arrivals[service].values())
         return max(counts) * len(counts) / sum(counts) if counts else 1.0
--- a/notchhoist/testing/opaque/links.py
+++ b/notchhoist/testing/opaque/links.py
@@ -1,4 +1,4 @@
-"""Links of the stand-in's hosts: what does not fit is lost."""
+"""Network links of the simulated hosts; a full link queue drops packets."""
 
 import attrs
 
@@ -10,19 +10,19 @@
 )
 
 HOLDS_S = 0.06
-"""What a link's own queue holds, seconds; about 12 packets at 2 Mbit/s."""
+"""Limit of a link's own queue, seconds; about 12 packets at 2 Mbit/s."""
 
 
 @attrs.define(eq=False)
 class HostLink:
-    """The link of a host, and the scheduler of the process before it.
+    """The link of a host, and the packet scheduler of the process in front.
 
     Attributes:
-        rate: What it carries, bytes a second; 0 for everything.
-        scheduler: Decides what the process lets leave.
-        free_at: When all that was taken is through, seconds.
-        sent: Datagrams that were taken.
-        lost: Datagrams that did not fit.
+        rate: Capacity, bytes a second; 0 for no limit.
+        scheduler: Decides which packets the process sends, and when.
+        free_at: When all queued datagrams are transmitted, seconds.
+        sent: Number of transmitted datagrams.
+        lost: Number of datagrams dropped at a full queue.
     """
 
     rate: float
@@ -32,7 +32,7 @@
     lost: int = 0
 
     def carry(self, packet: Outgoing, now: float) -> float:
-        """Returns how long a datagram takes through the link, or infinity."""
+        """Queues a datagram; returns its delay, or infinity if dropped."""
         if not self.rate:
             return 0.0
         if self.free_at - now > HOLDS_S:
@@ -47,8 +47,8 @@
     """Makes the link of a host.
 
     Args:
-        mbps: What it carries, Mbit/s; 0 for everything.
-        paced: The process lets no more leave than it carries.
+        mbps: Capacity, Mbit/s; 0 for no limit.
+        paced: The process sends no faster than the link carries.
     """
     return HostLink(
         mbps * BYTES_A_MBPS_S, make_scheduler(mbps if paced else 0.0)
--- a/notchhoist/testing/opaque/network.py
+++ b/notchhoist/testing/opaque/network.py
@@ -1,4 +1,4 @@
-"""The network of the stand-in: links, delays, losses and cuts."""
+"""The simulated network: links, delays, packet loss and partitions."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -25,7 +25,7 @@
 
 
 class Stage(Protocol):
-    """What the network connects."""
+    """The part of the simulated world that the network uses."""
 
     now: float
     rng: random.Random
@@ -36,10 +36,10 @@
     codec: PacketCodec
 
     def later(self, delay: float, action: Callable[[], None]) -> None:
-        """Does something after a delay, seconds."""
+        """Schedules an action after a delay, seconds."""
 
     def perform(self, host: Host, todo: Sequence[Effect]) -> None:
-        """Carries out what a process asks for."""
+        """Performs the effects that a daemon returned."""
 
 
 @attrs.define(eq=False)
@@ -47,12 +47,12 @@
     """Carries datagrams between hosts, and to callers.
 
     Attributes:
-        stage: What it connects.
+        stage: The world whose hosts and callers it connects.
         cross_zone_s: One-way delay between zones, seconds.
-        loss: Share of datagrams that are lost.
+        loss: Probability that a datagram is lost.
         cuts: Pairs of IP numbers that cannot reach each other; an IP number
-            with itself is cut off from the store.
-        zone_bytes: Bytes between zones so far.
+            paired with itself cannot reach the store.
+        zone_bytes: Bytes sent between zones so far.
     """
 
     stage: Stage
@@ -62,7 +62,7 @@
     zone_bytes: int = 0
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tells whether two IP numbers are cut apart."""
+        """Tells whether two IP numbers cannot reach each other."""
         return frozenset((one, other)) in self.cuts
 
     def carry(self, source: str, target: str, zone: str, size: int) -> float:
@@ -79,7 +79,10 @@
         return host.zone if host else self.stage.zone_of_caller.get(ip, "")
 
     def when_awake(self, host: Host, action: Callable[[], None]) -> None:
-        """Does something at a process that stands still once it wakes."""
+        """Runs an action at a process, or queues it while that is stalled.
+
+        The action is dropped where the process is down.
+        """
         if host.frozen:
             host.waiting.append(action)
         elif host.node is not None:
@@ -94,7 +97,7 @@
         flow: bytes = b"",
         seq: int = 0,
     ) -> None:
-        """Lets a datagram leave a host, now or when its link has room."""
+        """Sends a datagram of a host, now or when its link has capacity."""
         packet = Outgoing(port, raw, (target, 0), flow, seq, self.stage.now)
         scheduler = host.link.scheduler
         if scheduler.offer(packet, self.stage.now) is not None:
@@ -118,7 +121,7 @@
             self.stage.later(due, look)
 
     def _transmit(self, host: Host, packet: Outgoing) -> None:
-        """Sends a datagram through the link of its host."""
+        """Transmits a datagram over the link of its host."""
         wire_s = host.link.carry(packet, self.stage.now)
         if wire_s == float("inf"):
             return
--- a/notchhoist/testing/opaque/published.py
+++ b/notchhoist/testing/opaque/published.py
@@ -1,4 +1,4 @@
-"""Documents as operators and backend servers write them into the store."""
+"""Documents that operators and backend servers write into the store."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -10,15 +10,15 @@
 IDLE_MS = 15_000
 SERVER_PORT = 8080
 EPOCH_S = 1_700_000_000
-"""Time of day when the simulated clock starts, Unix seconds."""
+"""Unix time at which the simulated clock starts, seconds."""
 
 
 class Located(Protocol):
-    """A host of a backend server."""
+    """The location of a backend server."""
 
     @property
     def ip(self) -> str:
-        """IP number that the entry names."""
+        """IP number in the server's entry."""
 
     @property
     def zone(self) -> str:
@@ -28,7 +28,7 @@
 def entry_of(
     host: Located, server: ServerModel, now: float
 ) -> dict[str, object]:
-    """Returns what a backend server announces of itself."""
+    """Returns the entry that a backend server announces."""
     cold_s = max(0.0, server.cold_since + COLD_S - now)
     return {
         "service": server.service,
@@ -49,9 +49,10 @@
     """Returns a configuration with a route for each kind of request.
 
     Args:
-        version: Its version.
-        workloads: What callers ask for.
-        cold_per_s: New flows that a cold server bears in a second; 0 for all.
+        version: Version of the configuration.
+        workloads: Kinds of request that get a route.
+        cold_per_s: Cold bound of a server in slow start, new flows a second;
+            0 for no limit.
     """
     workloads = list(workloads)
     return {
--- a/notchhoist/testing/opaque/routers.py
+++ b/notchhoist/testing/opaque/routers.py
@@ -1,4 +1,4 @@
-"""The platform's routers: which balancer gets a caller's packet."""
+"""Model of the platform's routers, which pick a balancer for each packet."""
 
 import random
 from collections.abc import Iterable, Mapping
@@ -9,17 +9,17 @@
 from notchhoist.testing.opaque.hosts import MISSES, Host
 
 PROBE_S = 0.5
-"""How often routers ask balancers whether they are ready, seconds."""
+"""Interval of the readiness probes, seconds."""
 
 
 @attrs.define(eq=False)
 class Routers:
-    """Hand each packet to a balancer in its caller's availability zone.
+    """Forward each packet to a balancer, if possible in the caller's zone.
 
     Attributes:
         hosts: Hosts by IP number.
-        steady: Only the flows of a balancer that comes or goes move; else
-            nearly all do.
+        steady: Hash consistently: when a balancer joins or leaves, only its
+            flows move. Otherwise nearly all flows move.
     """
 
     hosts: Mapping[str, Host]
@@ -29,7 +29,12 @@
         return (host for host in self.hosts.values() if not host.service)
 
     def route(self, zone: str, frame: Frame) -> Host | None:
-        """Returns the balancer that a caller's packet goes to."""
+        """Returns the balancer that gets a caller's packet.
+
+        The ready balancers of the caller's zone share the flows. If none is
+        ready, the ready ones of all zones do. If fewer than half of the zone
+        are ready, all balancers of the zone do, ready or not.
+        """
         entries = list(self._entries())
         near = [host for host in entries if host.zone == zone] or entries
         ready = [host for host in near if host.misses < MISSES]
@@ -45,7 +50,7 @@
         return ready[hash_text(key) % len(ready)]
 
     def probe(self) -> None:
-        """Asks every process whether it is ready."""
+        """Probes the readiness of every process."""
         for host in self.hosts.values():
             node = host.node
             well = node is not None and not host.frozen and node.is_ready
--- a/notchhoist/testing/opaque/servers.py
+++ b/notchhoist/testing/opaque/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers with slots, a queue, and announcements."""
+"""Models of backend servers with slots, a queue and slow start."""
 
 import random
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 @attrs.define(eq=False)
 class _Held:
-    """A flow at the server; ``end`` is None until the handshake is over."""
+    """A flow at the server; ``end`` is None until the handshake is done."""
 
     first_seq: int
     caller_seq: int
@@ -49,22 +49,23 @@
     Attributes:
         server_id: Its id.
         service: Its service.
-        rng: Source of every draw.
-        judge: Sees what it sees.
-        send: Sends a packet to the agent beside it.
-        later: Calls back after a delay.
-        workloads: Kinds of request by number of the request.
-        slots: Requests that it works on at once.
-        queue_length: Requests that wait at the most.
+        rng: Source of random draws.
+        judge: Records what the server observes.
+        send: Sends a packet to the agent on its host.
+        later: Schedules an action after a delay, seconds.
+        workloads: Workload of each request by its number.
+        slots: Requests that it runs concurrently.
+        queue_length: Limit of the requests that wait for a slot.
         started_at: When it started, seconds.
         zone: Availability zone of its host.
-        returned_at: When its zone came back cold, seconds.
-        draining: It closes each flow after its next answer.
-        slowness: Factor on all work.
-        alive: It has not crashed.
-        flows: Its flows.
-        running: Requests that it works on.
-        queue: Requests that wait.
+        returned_at: When its zone last returned to service, which puts it in
+            slow start, seconds.
+        draining: It closes each flow after the flow's next answer.
+        slowness: Factor on the time of all work.
+        alive: Its process runs.
+        flows: Flows by their two addresses.
+        running: Number of requests that run.
+        queue: Requests that wait for a slot.
     """
 
     server_id: str
@@ -91,20 +92,20 @@
 
     @property
     def cold_since(self) -> float:
-        """When it last became cold, seconds."""
+        """When its slow start last began, seconds."""
         return max(self.started_at, self.returned_at)
 
     @property
     def state(self) -> str:
-        """What it says of itself."""
+        """State that its entry in the store announces."""
         return "draining" if self.draining else "ready"
 
     def is_cold(self, now: float) -> bool:
-        """Tells whether it is cold."""
+        """Tells whether it is in slow start."""
         return now - self.cold_since < COLD_S
 
     def on_frame(self, frame: Frame, now: float) -> None:
-        """Takes a packet from the agent."""
+        """Handles a packet from the agent."""
         ends = (frame.src, frame.dst)
         held = self.flows.get(ends)
         if frame.flags & SYN:
@@ -190,7 +191,7 @@
         held.end.write(text, now, closes=self.draining)
 
     def tick(self, now: float) -> None:
-        """Sends copies that are due and forgets ended flows."""
+        """Sends due retransmissions; removes ended and failed flows."""
         for ends, held in list(self.flows.items()):
             if now - held.ended_at > ENDED_KEPT_S:
                 del self.flows[ends]
@@ -200,6 +201,6 @@
                     del self.flows[ends]
 
     def holds(self, ends: FlowEnds) -> bool:
-        """Tells whether a flow is open here."""
+        """Tells whether a flow is open at this server."""
         held = self.flows.get(ends)
         return self.alive and held is not None and held.end is not None
--- a/notchhoist/testing/opaque/store.py
+++ b/notchhoist/testing/opaque/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, read only, and each way in which it misbehaves."""
+"""A model of the platform's store with the faults that it can have."""
 
 import base64
 import json
@@ -9,12 +9,12 @@
 import attrs
 
 RESEND_S = 0.2
-"""After this a packet that was not acknowledged is sent again, seconds."""
+"""Retransmission timeout of a lost packet, seconds."""
 
 
 @attrs.frozen
 class Change:
-    """One change of an item."""
+    """One change of an item; ``item`` is its encoded event."""
 
     revision: int
     key: str
@@ -23,12 +23,12 @@
 
 @attrs.frozen
 class StoreCopy:
-    """What the store held at one moment.
+    """A backup of the store.
 
     Attributes:
         items: The items by key.
-        revision: Its revision.
-        history: The changes that it remembered.
+        revision: Revision of the store.
+        history: The changes that were not compacted.
         compacted_to: See ``StoreModel``.
     """
 
@@ -40,26 +40,26 @@
 
 @attrs.define(eq=False)
 class StoreModel:
-    """Items, their history, and disturbances.
+    """The store's items, their history, and simulated faults.
 
     Attributes:
-        rng: Source of every draw.
+        rng: Source of random draws.
         items: The items by key.
-        revision: Counts the changes.
-        history: The changes that watches may still ask for.
-        compacted_to: Changes up to here are forgotten.
+        revision: Revision of the newest change.
+        history: Changes that watches can still request.
+        compacted_to: Changes up to this revision are compacted.
         page_size: Items of one page.
-        calls: Calls so far, refused ones too.
-        answer_s: Time to an answer, seconds.
-        resent_share: Share of the answers that are lost once on their way and
-            sent again; part of a calm network.
-        era: How often it has come back from a copy, from 1.
-        names_era: Its answers say so.
+        calls: Requests so far, including failed ones.
+        answer_s: Response time, seconds.
+        resent_share: Share of responses that are lost once and retransmitted;
+            a calm network has this too.
+        era: Period between two restores from a backup, counted from 1.
+        names_era: Responses have the header with the era.
         down: ``""``, ``silent``, ``busy`` (503), ``many`` (429) or ``reset``.
-        down_for: Hosts that it is down for; all of them where this is empty.
-        lost_share: Share of the answers that are lost.
-        lock: Held while items change or are read; real daemons read them from
-            other threads.
+        down_for: IP numbers of the hosts that it is down for; empty for all.
+        lost_share: Share of responses that are lost.
+        lock: Held while items are read or changed; tests with real daemons
+            read them from other threads.
     """
 
     rng: random.Random
@@ -106,7 +106,7 @@
             self.history.append(Change(self.revision, key, item))
 
     def value(self, key: str) -> dict[str, Any] | None:
-        """Returns what an item holds, or None where there is no such item."""
+        """Returns the decoded value of an item, or None if there is none."""
         item = self.items.get(key)
         if item is None:
             return None
@@ -114,13 +114,13 @@
         return held
 
     def compact(self) -> None:
-        """Forgets the history."""
+        """Compacts the whole history."""
         with self.lock:
             self.compacted_to = self.revision
             self.history.clear()
 
     def copy(self) -> StoreCopy:
-        """Returns what it holds now, to come back from."""
+        """Returns a backup of the store."""
         with self.lock:
             return StoreCopy(
                 dict(self.items),
@@ -130,9 +130,10 @@
             )
 
     def restore(self, copy: StoreCopy) -> None:
-        """Comes back from a copy: what was written since is gone.
+        """Restores a backup and begins a new era.
 
-        Its revisions are given out again, to other changes.
+        Later changes are lost, and their revisions are assigned again to
+        other changes.
         """
         with self.lock:
             self.items = dict(copy.items)
@@ -142,24 +143,24 @@
             self.era += 1
 
     def headers(self) -> dict[str, str]:
-        """Returns the headers of an answer, names in small letters."""
+        """Returns the headers of a response, names in lower case."""
         return {"store-era": str(self.era)} if self.names_era else {}
 
     def trouble_for(self, host: str) -> str:
-        """Returns how it fails a host, or an empty text."""
+        """Returns the fault that a host's request meets, or an empty string."""
         if self.down and (not self.down_for or host in self.down_for):
             return self.down
         return "silent" if self.rng.random() < self.lost_share else ""
 
     def resend_delay(self) -> float:
-        """Returns how much later an answer comes than usual, seconds."""
+        """Returns the extra delay of a response by retransmission, seconds."""
         if not self.resent_share:
             return 0.0
         resent = self.rng.random() < self.resent_share
         return RESEND_S if resent else 0.0
 
     def read_range(self, query: dict[str, str]) -> bytes:
-        """Answers ``/kv-range``."""
+        """Returns the response body of ``/kv-range``."""
         with self.lock:
             return self._read_range(query)
 
@@ -177,7 +178,7 @@
         return json.dumps(body).encode()
 
     def read_changes(self, query: dict[str, str]) -> tuple[int, bytes | None]:
-        """Answers ``/kv-watch``; no body while there is nothing to tell."""
+        """Returns status and body for ``/kv-watch``; body None if unchanged."""
         with self.lock:
             return self._read_changes(query)
 
@@ -198,6 +199,6 @@
     def no_changes(
         self, events: list[dict[str, object]] | None = None
     ) -> bytes:
-        """Returns the body of a watch that ends now."""
+        """Returns the response body of a watch; without events by default."""
         body = {"events": events or [], "as_of": self.revision}
         return json.dumps(body).encode()
--- a/notchhoist/testing/opaque/store_link.py
+++ b/notchhoist/testing/opaque/store_link.py
@@ -1,4 +1,4 @@
-"""Calls of balancers to the store, with what may go wrong on the way."""
+"""Requests of balancers to the store, with simulated faults."""
 
 from typing import TYPE_CHECKING
 from urllib.parse import parse_qsl, urlsplit
@@ -13,21 +13,21 @@
     from notchhoist.testing.opaque.world import OpaqueWorld
 
 POLL_S = 0.02
-"""How often the model looks whether a waiting watch has something to tell."""
+"""Interval at which a waiting watch checks for changes, seconds."""
 
 
 @attrs.define(eq=False)
 class StoreLink:
-    """Carries calls and answers between balancers and the store.
+    """Carries requests and responses between balancers and the store.
 
     Attributes:
-        world: The world that they are in.
+        world: The simulated world.
     """
 
     world: "OpaqueWorld"
 
     def call(self, host: Host, generation: int) -> None:
-        """Makes the next call of a balancer, if it wants one."""
+        """Sends the next request of a balancer, if its feeder has one."""
         if host.generation != generation or host.feeder is None:
             return
         if host.frozen:
@@ -66,7 +66,10 @@
             )
 
     def confirm(self, host: Host, generation: int) -> None:
-        """Makes a call that is answered at once, beside the others."""
+        """Sends a confirming request, which the store answers at once.
+
+        It is independent of the request that ``call`` has under way.
+        """
         if host.feeder is None:
             return
         call = host.feeder.confirming_call(self.world.now)
@@ -124,7 +127,7 @@
     def _send(
         self, host: Host, generation: int, number: int, status: int, body: bytes
     ) -> None:
-        """Sends an answer; what is lost or cut off is sent again."""
+        """Sends a response; it is retransmitted while the host is cut off."""
 
         def arrive() -> None:
             if self._is_cut(host):
@@ -161,7 +164,7 @@
         if not self._is_current(host, generation, number):
             return
         if host.frozen:
-            # What has come is read before anybody's silence is judged.
+            # A stalled process reads queued responses before it times out.
             self.world.later(
                 POLL_S,
                 lambda: self._on_no_answer(host, generation, number, reason),
--- a/notchhoist/testing/opaque/streams.py
+++ b/notchhoist/testing/opaque/streams.py
@@ -1,4 +1,4 @@
-"""One end of an open flow: a window, acknowledgements and copies."""
+"""One end of an open flow: window, acknowledgements, retransmissions."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 DELAYED_ACK_S = 0.04
 
 Emit = Callable[[int, int, int, bytes], None]
-"""Sends flags, sequence number, acknowledgement and data."""
+"""Sends a packet of flags, sequence number, acknowledgement and data."""
 
 
 @attrs.define
@@ -31,16 +31,16 @@
 
     Attributes:
         emit: Sends a packet.
-        next_seq: Number of the next byte to be sent.
+        next_seq: Sequence number of the next byte to send.
         next_in: Number of the next byte expected.
-        max_copies: Copies of a packet before the flow is given up.
-        sent: Packets under way, by number.
-        unsent: Packets that wait for the window.
-        early: Packets that came before others, by number.
+        max_copies: Retransmissions of a packet before the flow fails.
+        sent: Unacknowledged packets by sequence number.
+        unsent: Packets that wait for room in the window.
+        early: Packets received out of order, by sequence number.
         unacknowledged: Packets received since the last acknowledgement.
-        ack_due: When to acknowledge at the latest.
-        peer_closed: The other end has sent its last byte.
-        failed: A packet was sent too often.
+        ack_due: When the next acknowledgement is due, seconds.
+        peer_closed: The other end has closed its stream.
+        failed: A packet reached the limit of retransmissions.
     """
 
     emit: Emit
@@ -56,7 +56,7 @@
     failed: bool = False
 
     def write(self, data: bytes, now: float, closes: bool = False) -> None:
-        """Sends data, and the end of the stream."""
+        """Queues data, and a FIN where the stream closes, for sending."""
         pieces = [
             data[start : start + MAX_DATA]
             for start in range(0, len(data), MAX_DATA)
@@ -80,16 +80,16 @@
         self.emit(flags | ACK, seq, self.next_in, data)
 
     def acknowledge(self) -> None:
-        """Sends an acknowledgement alone."""
+        """Sends an acknowledgement without data."""
         self._send(self.next_seq, 0, b"")
 
     def on_frame(self, frame: Frame, now: float) -> bytes:
-        """Takes a packet; returns the bytes that are now in order."""
+        """Handles a packet; returns the bytes that are now in order."""
         self._take_ack(frame.ack, now)
         if not frame.data and not frame.flags & FIN:
             return b""
         if (frame.seq - self.next_in) % MODULUS >= MODULUS // 2:
-            self.acknowledge()  # A copy: the other end missed an answer.
+            self.acknowledge()  # Retransmission: the peer missed our ack.
             return b""
         self.early[frame.seq] = (frame.data, bool(frame.flags & FIN))
         received = self._in_order()
@@ -118,7 +118,7 @@
         self._fill(now)
 
     def tick(self, now: float) -> None:
-        """Sends copies and late acknowledgements that are due."""
+        """Sends the retransmissions and delayed acknowledgements due."""
         for seq, item in self.sent.items():
             if now < item.due:
                 continue
@@ -133,6 +133,6 @@
             self.acknowledge()
 
     def due(self) -> float:
-        """Returns when ``tick`` is next needed, seconds."""
+        """Returns when ``tick`` must be called next, seconds."""
         copies = min((item.due for item in self.sent.values()), default=9e9)
         return min(copies, self.ack_due)
--- a/notchhoist/testing/opaque/traffic.py
+++ b/notchhoist/testing/opaque/traffic.py
@@ -1,4 +1,4 @@
-"""What callers ask for, and how requests look inside a flow."""
+"""Workloads of callers, and the encoding of requests and answers."""
 
 import attrs
 
@@ -12,21 +12,21 @@
     """One kind of request.
 
     Attributes:
-        name: Its name.
-        kind: ``safe``, ``unsafe`` or ``upload``, as the platform says.
+        name: Name of the kind.
+        kind: ``safe``, ``unsafe`` or ``upload``, the platform's values.
         service: Service that answers it.
-        port: Port of its service address.
-        per_s: Requests a second.
-        work_ms: Mean time of the work, ms.
+        port: Port of the service address.
+        per_s: Rate, requests a second.
+        work_ms: Mean time that a request runs, ms.
         request_bytes: Size of a request.
         answer_bytes: Size of an answer.
         aim_s: Latency objective, seconds.
-        deadline_s: When its caller gives up, seconds.
-        priority: 0 is the highest.
-        worth: Credit of an answer in time.
-        late_worth: Credit of a late one.
-        long_flows: Its flows carry many requests.
-        split: Services with their weights where its route names several.
+        deadline_s: Time until the caller abandons a request, seconds.
+        priority: Priority, 0 for the highest.
+        worth: Credit for an answer within the objective.
+        late_worth: Credit for a late answer.
+        long_flows: A flow carries many requests, else one.
+        split: Services and their weights if the route splits traffic.
     """
 
     name: str
@@ -60,12 +60,12 @@
         *(0.503, 5.0),
     ),
 )
-"""The music trust's requests at two thirds of their usual rate."""
+"""Requests of the music trust, a team, at two thirds of their usual rate."""
 
 
 @attrs.frozen
 class Request:
-    """A request as a backend server reads it."""
+    """A request that a backend server has decoded."""
 
     number: int
     size: int
@@ -73,7 +73,7 @@
 
 
 def write_request(number: int, size: int, work_ms: int) -> bytes:
-    """Returns the bytes of a request of a size.
+    """Encodes a request, padded to a size in bytes.
 
     Examples:
         >>> text = write_request(7, 40, 62)
@@ -85,7 +85,7 @@
 
 
 def read_request(data: bytes) -> Request | None:
-    """Returns the first request in a stream, or None until it is whole."""
+    """Returns the first request of a stream, or None if incomplete."""
     if len(data) < _REQUEST_HEAD:
         return None
     digits = data[1:_REQUEST_HEAD]
@@ -98,7 +98,7 @@
 
 @attrs.frozen
 class Answer:
-    """An answer as a caller reads it."""
+    """An answer that a caller has decoded."""
 
     number: int
     status: int
@@ -107,7 +107,7 @@
 
 
 def write_answer(number: int, status: int, server: str, size: int) -> bytes:
-    """Returns the bytes of an answer.
+    """Encodes an answer, padded to a size in bytes.
 
     Examples:
         >>> read_answer(write_answer(7, 200, "s1", 60))
@@ -119,7 +119,7 @@
 
 
 def read_answer(data: bytes) -> Answer | None:
-    """Returns the first answer in a stream, or None until it is whole."""
+    """Returns the first answer of a stream, or None if incomplete."""
     if len(data) < _ANSWER_HEAD or data[:1] != b"A":
         return None
     text = data[1:_ANSWER_HEAD].decode()
--- a/notchhoist/testing/opaque/world.py
+++ b/notchhoist/testing/opaque/world.py
@@ -1,4 +1,4 @@
-"""Hosts, routers and the network between them, on one simulated clock."""
+"""Discrete-event simulation of a deployment: hosts, routers and network."""
 
 import heapq
 import itertools
@@ -47,36 +47,39 @@
 MODEL_TICK_S = 0.02
 SEEDS = 3
 CHECK_S = 0.25
-"""How long a balancer waits for a host that says nothing, seconds."""
+"""Time until a balancer's connection attempt to a silent host times out,
+seconds."""
 
 
 @attrs.define(eq=False)
 class OpaqueWorld:
-    """Everything in one run.
+    """State and event queue of one simulated run.
 
     Attributes:
-        rng: Source of every draw.
+        rng: Source of random draws.
         zones: Names of the availability zones.
-        workloads: What callers ask for.
-        steady: Routers hash so that only the flows of a balancer that comes
-            or goes move; else nearly all do.
-        link_mbps: What the links of entry hosts carry, Mbit/s; 0 for all.
-        paced: Balancers let no more leave than their links carry.
-        cold_per_s: New flows that a cold server bears in a second; 0 for all.
-        uses: Mechanisms of the daemons that are in use.
-        judge: What was seen.
+        workloads: Kinds of request that callers send.
+        steady: Routers hash consistently: when a balancer joins or leaves,
+            only its flows move. Otherwise nearly all flows move.
+        link_mbps: Capacity of the links of entry hosts, Mbit/s; 0 for no
+            limit.
+        paced: Balancers send no faster than their links carry.
+        cold_per_s: Cold bound of a server in slow start, new flows a second;
+            0 for no limit.
+        uses: Mechanisms that are enabled in the daemons.
+        judge: Records observations and broken rules.
         store: The platform's store.
-        store_link: Carries calls to it.
-        routers: Hand callers' packets to balancers.
+        store_link: Carries requests of balancers to the store.
+        routers: Forward callers' packets to balancers.
         network: Carries datagrams.
-        now: The clock, seconds.
+        now: Simulated time, seconds.
         hosts: Hosts by IP number.
         callers: Callers by zone.
         zone_of_caller: Zone of each caller's IP number.
-        requests: Kind of each request by its number.
-        queue: What happens, by time.
-        numbers: Order of what happens at the same time.
-        asked_by_number: Request numbers given so far.
+        requests: Workload of each request by its number.
+        queue: Heap of pending events: time, sequence number and action.
+        numbers: Sequence numbers, which order events of the same time.
+        codec: Decodes packets for the daemons.
     """
 
     rng: random.Random
@@ -112,10 +115,10 @@
         self._every(MODEL_TICK_S, self._tick_models)
         self._every(PROBE_S, self.routers.probe)
 
-    # Time.
+    # Event queue.
 
     def later(self, delay: float, action: Callable[[], None]) -> None:
-        """Does something after a delay."""
+        """Schedules an action after a delay, seconds."""
         entry = (self.now + delay, next(self.numbers), action)
         heapq.heappush(self.queue, entry)
 
@@ -127,13 +130,13 @@
         self.later(period, again)
 
     def run_until(self, when: float) -> None:
-        """Advances the clock."""
+        """Runs all events up to a time and sets the clock to it."""
         while self.queue and self.queue[0][0] <= when:
             self.now, _, action = heapq.heappop(self.queue)
             action()
         self.now = when
 
-    # Building.
+    # Construction of hosts, servers and callers.
 
     def _add_callers(self, zone: str) -> None:
         index = len(self.callers)
@@ -162,7 +165,7 @@
         )
 
     def add_host(self, zone: str, service: str = "", slots: int = 3) -> Host:
-        """Adds a host: an entry host, or one with a backend server."""
+        """Adds and starts an entry host, or a host with a backend server."""
         number = len(self.hosts) + 1
         zone_number = list(self.zones).index(zone) + 1
         ip = f"10.{zone_number}.{number // 250}.{number % 250 + 1}"
@@ -174,7 +177,7 @@
         return host
 
     def start(self, host: Host) -> None:
-        """Starts the process of a host."""
+        """Starts the daemon of a host: an agent or a balancer."""
         host.generation += 1
         host.waiting.clear()
         mbps = 0.0 if host.service else self.link_mbps
@@ -197,7 +200,7 @@
         self._tick_node(host, host.generation)
 
     def _seeds(self) -> tuple[str, ...]:
-        """Returns the balancers that settings name: the first three."""
+        """Returns the seed balancers of the settings: the first three."""
         entries = [host for host in self.hosts.values() if not host.service]
         return tuple(host.ip for host in entries[:SEEDS])
 
@@ -208,8 +211,8 @@
 
         Args:
             host: Its host.
-            slots: Requests that it works on at once.
-            server_id: Its id; a new one where this is empty.
+            slots: Requests that it runs concurrently.
+            server_id: Its id; empty for a new random one.
         """
         server_id = server_id or f"i{self.rng.getrandbits(24):06x}"
         server = ServerModel(
@@ -228,12 +231,12 @@
         self.announce(host, server)
 
     def announce(self, host: Host, server: ServerModel) -> None:
-        """Writes a server's entry, as it does itself."""
+        """Writes a server's entry into the store, as the server itself does."""
         entry = published.entry_of(host, server, self.now)
         self.store.put(f"servers/{server.server_id}", entry)
 
     def publish(self, version: int, without: Sequence[str] = ()) -> None:
-        """Publishes a configuration with a route for each kind."""
+        """Publishes a configuration with routes for all kinds but some."""
         kinds = [item for item in self.workloads if item.name not in without]
         document = published.configuration_of(version, kinds, self.cold_per_s)
         self.store.put("op/config", document)
@@ -258,7 +261,7 @@
         self.network.when_awake(host, take)
 
     def perform(self, host: Host, todo: Sequence[effects.Effect]) -> None:
-        """Carries out what a process asks for."""
+        """Performs the effects that a daemon returned."""
         for effect in todo:
             match effect:
                 case effects.SendAgent(target, raw, flow, seq):
@@ -316,7 +319,7 @@
             self.perform(host, host.node.on_backend_checked(listens, self.now))
 
     def _check_host(self, source: Host, target: str) -> None:
-        """Lets a balancer try to connect to another host."""
+        """Simulates a balancer's connection attempt to another host."""
         host = self.hosts.get(target)
         reach = effects.ConnectResult.SILENT
         if host is not None and not self.network.is_cut(source.ip, target):
@@ -333,7 +336,7 @@
 
         self.later(delay, lambda: self.network.when_awake(source, take))
 
-    # What happens by itself.
+    # Periodic events.
 
     def _tick_node(self, host: Host, generation: int) -> None:
         if host.generation != generation or host.node is None:
