--- a/notchhoist/testing/opaque/callers.py
+++ b/notchhoist/testing/opaque/callers.py
@@ -16,12 +16,12 @@
     write_request,
 )
 
-COPIES_S = (0.2, 0.6)
-OPENING_S = 1.4
-RETRIES = 2
+SYN_RETRANSMITS_S = (0.2, 0.6)
+OPENING_TIMEOUT_S = 1.4
+MAX_RETRIES = 2
 FIRST_PORT = 40_000
 SERVICE_HOST = "198.18.0.1"
-USERS = 3
+MAX_IDLE_FLOWS = 3
 
 
 @attrs.define(eq=False)
@@ -32,7 +32,7 @@
     workload: Workload
     started_at: float
     work_ms: int
-    retries: int = RETRIES
+    retries: int = MAX_RETRIES
     over: bool = False
 
 
@@ -92,9 +92,9 @@
         self.judge.tallies[workload.name].asked += 1
         deadline = workload.deadline_s
         self.later(deadline, lambda: self._on_deadline(pending, now + deadline))
-        self._try(pending, now)
+        self._send_request(pending, now)
 
-    def _try(self, pending: Pending, now: float) -> None:
+    def _send_request(self, pending: Pending, now: float) -> None:
         host = self.rng.choice(self.hosts)
         idle = self.idle.get((host, pending.workload.name), [])
         while idle:
@@ -115,15 +115,18 @@
         )
         self.flows[flow.own] = flow
         self._send_opening(flow, 0)
-        for copy, delay in enumerate(COPIES_S, 1):
+        for copy, delay in enumerate(SYN_RETRANSMITS_S, 1):
             self.later(delay, partial(self._send_opening, flow, copy))
         self.later(
-            OPENING_S, lambda: self._on_not_opened(flow, now + OPENING_S)
+            OPENING_TIMEOUT_S,
+            lambda: self._on_not_opened(flow, now + OPENING_TIMEOUT_S),
         )
 
-    def _send_opening(self, flow: Flow, copy: int) -> None:
+    def _send_opening(self, flow: Flow, retransmits: int) -> None:
         if flow.end is None and not flow.closed:
-            self.send(Frame(flow.own, flow.service, SYN, flow.first_seq, copy))
+            self.send(
+                Frame(flow.own, flow.service, SYN, flow.first_seq, retransmits)
+            )
 
     def _on_not_opened(self, flow: Flow, now: float) -> None:
         if flow.end is None and not flow.closed:
@@ -161,7 +164,7 @@
             ),
             (flow.first_seq + 1) % (1 << 32),
             (frame.seq + 1) % (1 << 32),
-            max_copies=1000,
+            max_retransmits=1000,
         )
         self._write(flow, flow.end, now)
 
@@ -197,13 +200,15 @@
             pending.over = True
             latency_s = now - pending.started_at
             self._end(pending, "answered", latency_s)
-        self._rest(flow, pending.workload, now)
+        self._keep_or_close(flow, pending.workload, now)
 
-    def _rest(self, flow: Flow, workload: Workload, now: float) -> None:
+    def _keep_or_close(
+        self, flow: Flow, workload: Workload, now: float
+    ) -> None:
         key = (flow.own[0], workload.name)
-        resting = self.idle.setdefault(key, [])
-        if workload.long_flows and len(resting) < USERS:
-            resting.append(flow)
+        idle_flows = self.idle.setdefault(key, [])
+        if workload.long_flows and len(idle_flows) < MAX_IDLE_FLOWS:
+            idle_flows.append(flow)
         elif flow.end is not None:
             flow.end.write(b"", now, closes=True)
             self.later(2.0, lambda: self._drop(flow))
@@ -215,7 +220,7 @@
         if pending.retries and (safe or reason != "reset"):
             pending.retries -= 1
             pending.number = self.register(pending.workload)
-            self._try(pending, now)
+            self._send_request(pending, now)
             return
         pending.over = True
         outcome = "failed" if reason == "reset" else "refused"
--- a/notchhoist/testing/opaque/config_judge.py
+++ b/notchhoist/testing/opaque/config_judge.py
@@ -17,7 +17,7 @@
 """Propagation deadline: time from the store's acknowledgement until every
 balancer must have applied a configuration, seconds."""
 
-LOOK_EVERY_S = 0.02
+CHECK_INTERVAL_S = 0.02
 
 
 @attrs.frozen
@@ -58,8 +58,8 @@
 
     def start(self) -> None:
         """Checks all balancers now, and again at each interval."""
-        self._look()
-        self.world.later(LOOK_EVERY_S, self.start)
+        self._check()
+        self.world.later(CHECK_INTERVAL_S, self.start)
 
     def publish(self, document: dict[str, object]) -> None:
         """Writes a configuration into the store."""
@@ -79,15 +79,15 @@
         since = self.world.now - self.disturbed.get(ip, float("-inf"))
         return since >= CONTACT_S
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         for host in self.world.hosts.values():
             if isinstance(host.node, BalancerNode) and not host.frozen:
-                for fault, subject, detail in self._faults(host, host.node):
+                for fault, subject, detail in self._violations(host, host.node):
                     key = (fault, host.ip, host.generation, subject)
                     text = f"{self.world.now:.3f} {fault} {host.ip}: {detail}"
                     self.broken.setdefault(key, text)
 
-    def _faults(
+    def _violations(
         self, host: Host, node: BalancerNode
     ) -> Iterator[tuple[str, int, str]]:
         """Yields the current violations: rule, version and detail."""
@@ -97,26 +97,26 @@
         if newest is not None and newest.version > version:
             detail = f"{newest.version} was published when {version} was sure"
             yield "UNTRUE", newest.version, detail
-        life = (host.ip, host.generation)
-        if version < self.newest.get(life, 0):
-            yield "BACK", version, f"{version} after {self.newest[life]}"
-        self.newest[life] = max(version, self.newest.get(life, 0))
+        process = (host.ip, host.generation)
+        if version < self.newest.get(process, 0):
+            yield "BACK", version, f"{version} after {self.newest[process]}"
+        self.newest[process] = max(version, self.newest.get(process, 0))
         if not version:
             return
-        [same] = [item for item in self.published if item.version == version]
-        if board.view.digest != same.digest:
+        [current] = [item for item in self.published if item.version == version]
+        if board.view.digest != current.digest:
             yield "OTHER", version, f"{version} has other routes"
         if not self.is_in_touch(host.ip):
             return
-        place = self.published.index(same) + 1
-        if place < len(self.published):
-            late_s = now - self.published[place].at
+        next_index = self.published.index(current) + 1
+        if next_index < len(self.published):
+            late_s = now - self.published[next_index].at
             self.oldest_s = max(self.oldest_s, late_s)
             if late_s > APPLY_S:
-                missed = self.published[place].version
+                missed = self.published[next_index].version
                 yield "LATE", missed, f"{missed} after {late_s:.3f} s"
 
     def _newest_at(self, when: float) -> Published | None:
         """Returns the newest configuration published before a time."""
-        place = bisect.bisect_left(self.published, when, key=lambda p: p.at)
-        return self.published[place - 1] if place else None
+        count = bisect.bisect_left(self.published, when, key=lambda p: p.at)
+        return self.published[count - 1] if count else None
--- a/notchhoist/testing/opaque/frames.py
+++ b/notchhoist/testing/opaque/frames.py
@@ -10,7 +10,7 @@
 import attrs
 
 SYN, RST, FIN, BOUNCED, ACK = 1, 2, 4, 32, 64
-HEAD = struct.Struct(">IIIBBIHH4s4sH")
+HEADER = struct.Struct(">IIIBBIHH4s4sH")
 MAX_DATA = 1200
 
 Address = tuple[str, int]
@@ -50,9 +50,9 @@
     checksum: int = 0
 
 
-def _parts(frame: Frame, echo: int, flags: int, checksum: int) -> bytes:
+def _pack(frame: Frame, echo: int, flags: int, checksum: int) -> bytes:
     return (
-        HEAD.pack(
+        HEADER.pack(
             echo,
             frame.seq,
             frame.ack,
@@ -71,13 +71,13 @@
 
 def keyed_sum(frame: Frame, key: bytes) -> int:
     """Returns the checksum over all but echo, padding and ``BOUNCED``."""
-    covered = _parts(frame, 0, frame.flags & ~BOUNCED, 0)
+    covered = _pack(frame, 0, frame.flags & ~BOUNCED, 0)
     return zlib.crc32(covered, zlib.crc32(key))
 
 
 def encode_frame(frame: Frame, key: bytes) -> bytes:
     """Encodes a packet with its keyed checksum."""
-    return _parts(frame, frame.echo, frame.flags, keyed_sum(frame, key))
+    return _pack(frame, frame.echo, frame.flags, keyed_sum(frame, key))
 
 
 def decode_frame(raw: bytes) -> Frame:
@@ -89,9 +89,9 @@
         ('10.0.0.2', 8)
     """
     echo, seq, ack, flags, _, checksum, sport, dport, dst, src, size = (
-        HEAD.unpack_from(raw)
+        HEADER.unpack_from(raw)
     )
-    data = raw[HEAD.size :]
+    data = raw[HEADER.size :]
     if len(data) != size:
         raise ValueError(f"header announces {size} bytes, got {len(data)}")
     return Frame(
--- a/notchhoist/testing/opaque/hosts.py
+++ b/notchhoist/testing/opaque/hosts.py
@@ -11,7 +11,7 @@
 from notchhoist.testing.opaque.links import HostLink, make_link
 from notchhoist.testing.opaque.servers import ServerModel
 
-MISSES = 2
+MAX_FAILED_PROBES = 2
 """Failed readiness probes in a row after which routers avoid a balancer."""
 
 START_S = 0.3
@@ -35,11 +35,11 @@
         waiting: Events that are queued while the process is stalled.
         generation: Number of starts of the process; events of an earlier
             generation are dropped.
-        misses: Failed readiness probes of the routers in a row.
+        failed_probes: Failed readiness probes of the routers in a row.
         feeder: Feeds a balancer from the store.
         link: Its network link.
-        looks: The next check of the link's scheduler is already scheduled.
-        calling: Number of its current request to the store; responses to
+        send_scheduled: The next call of the link's scheduler is scheduled.
+        request_number: Number of its current request to the store; responses to
             another number are ignored.
     """
 
@@ -53,13 +53,13 @@
     frozen: bool = False
     waiting: list[Callable[[], None]] = attrs.Factory(list)
     generation: int = 0
-    misses: int = MISSES
+    failed_probes: int = MAX_FAILED_PROBES
     feeder: StoreFeeder | None = None
     link: HostLink = attrs.Factory(make_link)
-    looks: bool = False
-    calling: int = 0
+    send_scheduled: bool = False
+    request_number: int = 0
 
-    def reach(self) -> ConnectResult:
+    def connect_result(self) -> ConnectResult:
         """Returns the result of a connection attempt to its process."""
         if self.dark:
             return ConnectResult.SILENT
--- a/notchhoist/testing/opaque/links.py
+++ b/notchhoist/testing/opaque/links.py
@@ -9,7 +9,7 @@
     make_scheduler,
 )
 
-HOLDS_S = 0.06
+QUEUE_LIMIT_S = 0.06
 """Limit of a link's own queue, seconds; about 12 packets at 2 Mbit/s."""
 
 
@@ -35,7 +35,7 @@
         """Queues a datagram; returns its delay, or infinity if dropped."""
         if not self.rate:
             return 0.0
-        if self.free_at - now > HOLDS_S:
+        if self.free_at - now > QUEUE_LIMIT_S:
             self.lost += 1
             return float("inf")
         self.sent += 1
--- a/notchhoist/testing/opaque/network.py
+++ b/notchhoist/testing/opaque/network.py
@@ -19,12 +19,12 @@
 from notchhoist.testing.opaque.judge import Judge
 
 KEY = b"not told to the system"
-IN_ZONE_S = 0.0001
-CALLER_S = 0.001
-LEAST_LOOK_S = 0.005
+IN_ZONE_DELAY_S = 0.0001
+CALLER_DELAY_S = 0.001
+MIN_SEND_DELAY_S = 0.005
 
 
-class Stage(Protocol):
+class NetworkWorld(Protocol):
     """The part of the simulated world that the network uses."""
 
     now: float
@@ -47,7 +47,7 @@
     """Carries datagrams between hosts, and to callers.
 
     Attributes:
-        stage: The world whose hosts and callers it connects.
+        world: The world whose hosts and callers it connects.
         cross_zone_s: One-way delay between zones, seconds.
         loss: Probability that a datagram is lost.
         cuts: Pairs of IP numbers that cannot reach each other; an IP number
@@ -55,7 +55,7 @@
         zone_bytes: Bytes sent between zones so far.
     """
 
-    stage: Stage
+    world: NetworkWorld
     cross_zone_s: float = 0.0014
     loss: float = 0.0
     cuts: set[frozenset[str]] = attrs.Factory(set)
@@ -67,16 +67,16 @@
 
     def carry(self, source: str, target: str, zone: str, size: int) -> float:
         """Returns the delay of a datagram, or infinity where it is lost."""
-        if self.is_cut(source, target) or self.stage.rng.random() < self.loss:
+        if self.is_cut(source, target) or self.world.rng.random() < self.loss:
             return float("inf")
         if self._zone_of(source) == zone:
-            return IN_ZONE_S
+            return IN_ZONE_DELAY_S
         self.zone_bytes += size + HEADERS_BYTES
         return self.cross_zone_s
 
     def _zone_of(self, ip: str) -> str:
-        host = self.stage.hosts.get(ip)
-        return host.zone if host else self.stage.zone_of_caller.get(ip, "")
+        host = self.world.hosts.get(ip)
+        return host.zone if host else self.world.zone_of_caller.get(ip, "")
 
     def when_awake(self, host: Host, action: Callable[[], None]) -> None:
         """Runs an action at a process, or queues it while that is stalled.
@@ -98,31 +98,33 @@
         seq: int = 0,
     ) -> None:
         """Sends a datagram of a host, now or when its link has capacity."""
-        packet = Outgoing(port, raw, (target, 0), flow, seq, self.stage.now)
+        packet = Outgoing(port, raw, (target, 0), flow, seq, self.world.now)
         scheduler = host.link.scheduler
-        if scheduler.offer(packet, self.stage.now) is not None:
+        if scheduler.offer(packet, self.world.now) is not None:
             self._transmit(host, packet)
         elif scheduler.due() < float("inf"):
-            self._look_later(host, host.generation)
+            self._schedule_send(host, host.generation)
 
-    def _look_later(self, host: Host, generation: int) -> None:
-        def look() -> None:
-            host.looks = False
+    def _schedule_send(self, host: Host, generation: int) -> None:
+        def send_due() -> None:
+            host.send_scheduled = False
             if host.generation != generation or host.node is None:
                 return
-            for packet in host.link.scheduler.take(self.stage.now):
+            for packet in host.link.scheduler.take(self.world.now):
                 self._transmit(host, packet)
             if host.link.scheduler.waiting:
-                self._look_later(host, generation)
+                self._schedule_send(host, generation)
 
-        if not host.looks:
-            host.looks = True
-            due = max(host.link.scheduler.due() - self.stage.now, LEAST_LOOK_S)
-            self.stage.later(due, look)
+        if not host.send_scheduled:
+            host.send_scheduled = True
+            due = max(
+                host.link.scheduler.due() - self.world.now, MIN_SEND_DELAY_S
+            )
+            self.world.later(due, send_due)
 
     def _transmit(self, host: Host, packet: Outgoing) -> None:
         """Transmits a datagram over the link of its host."""
-        wire_s = host.link.carry(packet, self.stage.now)
+        wire_s = host.link.carry(packet, self.world.now)
         if wire_s == float("inf"):
             return
         target, _ = packet.to
@@ -137,7 +139,7 @@
     def _to_process(
         self, source: Host, target: str, raw: bytes, wire_s: float
     ) -> None:
-        host = self.stage.hosts.get(target)
+        host = self.world.hosts.get(target)
         if host is None:
             return
         delay = wire_s + self.carry(source.ip, target, host.zone, len(raw))
@@ -145,21 +147,21 @@
             return
 
         def take() -> None:
-            segment = self.stage.codec.decode_request(raw)
+            segment = self.world.codec.decode_request(raw)
             if isinstance(host.node, BalancerNode):
-                todo = host.node.on_agent(source.ip, segment, self.stage.now)
+                todo = host.node.on_agent(source.ip, segment, self.world.now)
             elif isinstance(host.node, AgentNode):
-                todo = host.node.on_balancer(source.ip, segment, self.stage.now)
+                todo = host.node.on_balancer(source.ip, segment, self.world.now)
             else:
                 return
-            self.stage.perform(host, todo)
+            self.world.perform(host, todo)
 
-        self.stage.later(delay, lambda: self.when_awake(host, take))
+        self.world.later(delay, lambda: self.when_awake(host, take))
 
     def _to_control(
         self, source: Host, target: str, raw: bytes, wire_s: float
     ) -> None:
-        host = self.stage.hosts.get(target)
+        host = self.world.hosts.get(target)
         if host is None:
             return
         message = decode_message(raw)
@@ -167,26 +169,27 @@
 
         def take() -> None:
             if host.node is not None:
-                self.stage.perform(
-                    host, host.node.on_peer(source.ip, message, self.stage.now)
+                self.world.perform(
+                    host, host.node.on_peer(source.ip, message, self.world.now)
                 )
 
         if delay < float("inf"):
-            self.stage.later(delay, lambda: self.when_awake(host, take))
+            self.world.later(delay, lambda: self.when_awake(host, take))
 
     def _to_caller(
         self, source: Host, target: str, raw: bytes, wire_s: float
     ) -> None:
-        zone = self.stage.zone_of_caller.get(target, "")
+        zone = self.world.zone_of_caller.get(target, "")
         delay = wire_s + self.carry(source.ip, target, zone, len(raw))
         if not zone or delay == float("inf"):
             return
         frame = decode_frame(raw)
         if frame.checksum and not is_genuine(frame, KEY):
             detail = f"forged for {frame.dst}"
-            self.stage.judge.break_rule("MIXED", detail, self.stage.now)
+            self.world.judge.break_rule("MIXED", detail, self.world.now)
             return
-        caller = self.stage.callers[zone]
-        self.stage.later(
-            CALLER_S + delay, lambda: caller.on_frame(frame, self.stage.now)
+        caller = self.world.callers[zone]
+        self.world.later(
+            CALLER_DELAY_S + delay,
+            lambda: caller.on_frame(frame, self.world.now),
         )
--- a/notchhoist/testing/opaque/routers.py
+++ b/notchhoist/testing/opaque/routers.py
@@ -6,7 +6,7 @@
 import attrs
 
 from notchhoist.testing.opaque.frames import Frame
-from notchhoist.testing.opaque.hosts import MISSES, Host
+from notchhoist.testing.opaque.hosts import MAX_FAILED_PROBES, Host
 
 PROBE_S = 0.5
 """Interval of the readiness probes, seconds."""
@@ -36,12 +36,18 @@
         are ready, all balancers of the zone do, ready or not.
         """
         entries = list(self._entries())
-        near = [host for host in entries if host.zone == zone] or entries
-        ready = [host for host in near if host.misses < MISSES]
-        if not ready and near is not entries:
-            ready = [host for host in entries if host.misses < MISSES]
-        elif len(ready) * 2 < len(near):
-            ready = near
+        local = [host for host in entries if host.zone == zone] or entries
+        ready = [
+            host for host in local if host.failed_probes < MAX_FAILED_PROBES
+        ]
+        if not ready and local is not entries:
+            ready = [
+                host
+                for host in entries
+                if host.failed_probes < MAX_FAILED_PROBES
+            ]
+        elif len(ready) * 2 < len(local):
+            ready = local
         if not ready:
             return None
         key = f"{frame.src}{frame.dst}"
@@ -53,8 +59,8 @@
         """Probes the readiness of every process."""
         for host in self.hosts.values():
             node = host.node
-            well = node is not None and not host.frozen and node.is_ready
-            host.misses = 0 if well else host.misses + 1
+            is_ready = node is not None and not host.frozen and node.is_ready
+            host.failed_probes = 0 if is_ready else host.failed_probes + 1
 
 
 def hash_text(text: str) -> int:
--- a/notchhoist/testing/opaque/servers.py
+++ b/notchhoist/testing/opaque/servers.py
@@ -24,14 +24,14 @@
 
 COLD_S = 2.0
 COLD_SLOWDOWN = 1.6
-ENDED_KEPT_S = 10.0
-REJECTED = 503
+ENDED_FLOW_KEPT_S = 10.0
+REJECTED_STATUS = 503
 
 FlowEnds = tuple[Address, Address]
 
 
 @attrs.define(eq=False)
-class _Held:
+class _ServerFlow:
     """A flow at the server; ``end`` is None until the handshake is done."""
 
     first_seq: int
@@ -83,7 +83,7 @@
     draining: bool = False
     slowness: float = 1.0
     alive: bool = True
-    flows: dict[FlowEnds, _Held] = attrs.Factory(dict)
+    flows: dict[FlowEnds, _ServerFlow] = attrs.Factory(dict)
     running: int = 0
     queue: list[tuple[FlowEnds, Request]] = attrs.Factory(list)
 
@@ -107,26 +107,26 @@
     def on_frame(self, frame: Frame, now: float) -> None:
         """Handles a packet from the agent."""
         ends = (frame.src, frame.dst)
-        held = self.flows.get(ends)
+        flow = self.flows.get(ends)
         if frame.flags & SYN:
             self._on_opening(ends, frame, now)
-        elif held is None:
+        elif flow is None:
             self.send(attrs.evolve(frame, flags=frame.flags | BOUNCED))
         elif frame.flags & RST:
             del self.flows[ends]
-        elif held.ended_at < now and frame.data:
-            self._emit(ends, RST, held.first_seq, 0, b"")
+        elif flow.ended_at < now and frame.data:
+            self._emit(ends, RST, flow.first_seq, 0, b"")
         else:
-            self._on_packet(ends, held, frame, now)
+            self._on_packet(ends, flow, frame, now)
 
     def _on_opening(self, ends: FlowEnds, frame: Frame, now: float) -> None:
-        held = self.flows.get(ends)
-        if held is None:
+        flow = self.flows.get(ends)
+        if flow is None:
             cold = self.is_cold(now)
             self.judge.on_opening(self.server_id, self.zone, cold, now)
-            held = _Held(self.rng.getrandbits(32), frame.seq + 1)
-            self.flows[ends] = held
-        self._emit(ends, SYN | ACK, held.first_seq, held.caller_seq, b"")
+            flow = _ServerFlow(self.rng.getrandbits(32), frame.seq + 1)
+            self.flows[ends] = flow
+        self._emit(ends, SYN | ACK, flow.first_seq, flow.caller_seq, b"")
 
     def _emit(
         self, ends: FlowEnds, flags: int, seq: int, ack: int, data: bytes
@@ -135,24 +135,24 @@
         self.send(Frame(service, caller, flags, seq % (1 << 32), ack, data))
 
     def _on_packet(
-        self, ends: FlowEnds, held: _Held, frame: Frame, now: float
+        self, ends: FlowEnds, flow: _ServerFlow, frame: Frame, now: float
     ) -> None:
-        if held.end is None:
-            if frame.ack != (held.first_seq + 1) % (1 << 32):
+        if flow.end is None:
+            if frame.ack != (flow.first_seq + 1) % (1 << 32):
                 bounced = attrs.evolve(frame, flags=frame.flags | BOUNCED)
                 self.send(bounced)
                 return
-            held.end = StreamEnd(
+            flow.end = StreamEnd(
                 lambda *packet: self._emit(ends, *packet),
-                (held.first_seq + 1) % (1 << 32),
-                held.caller_seq,
+                (flow.first_seq + 1) % (1 << 32),
+                flow.caller_seq,
             )
-        held.data += held.end.on_frame(frame, now)
-        if held.end.peer_closed and held.ended_at == float("inf"):
-            held.ended_at = now
-            held.end.write(b"", now, closes=True)
-        while (request := read_request(held.data)) is not None:
-            held.data = held.data[request.size :]
+        flow.data += flow.end.on_frame(frame, now)
+        if flow.end.peer_closed and flow.ended_at == float("inf"):
+            flow.ended_at = now
+            flow.end.write(b"", now, closes=True)
+        while (request := read_request(flow.data)) is not None:
+            flow.data = flow.data[request.size :]
             self._on_request(ends, request, now)
 
     def _on_request(self, ends: FlowEnds, request: Request, now: float) -> None:
@@ -162,7 +162,7 @@
         elif len(self.queue) < self.queue_length:
             self.queue.append((ends, request))
         else:
-            self._answer(ends, request, REJECTED, now)
+            self._answer(ends, request, REJECTED_STATUS, now)
 
     def _run(self, ends: FlowEnds, request: Request, now: float) -> None:
         self.running += 1
@@ -183,24 +183,24 @@
     def _answer(
         self, ends: FlowEnds, request: Request, status: int, now: float
     ) -> None:
-        held = self.flows.get(ends)
-        if held is None or held.end is None:
+        flow = self.flows.get(ends)
+        if flow is None or flow.end is None:
             return
         size = self.workloads[request.number].answer_bytes
         text = write_answer(request.number, status, self.server_id, size)
-        held.end.write(text, now, closes=self.draining)
+        flow.end.write(text, now, closes=self.draining)
 
     def tick(self, now: float) -> None:
         """Sends due retransmissions; removes ended and failed flows."""
-        for ends, held in list(self.flows.items()):
-            if now - held.ended_at > ENDED_KEPT_S:
+        for ends, flow in list(self.flows.items()):
+            if now - flow.ended_at > ENDED_FLOW_KEPT_S:
                 del self.flows[ends]
-            elif held.end is not None:
-                held.end.tick(now)
-                if held.end.failed:
+            elif flow.end is not None:
+                flow.end.tick(now)
+                if flow.end.failed:
                     del self.flows[ends]
 
     def holds(self, ends: FlowEnds) -> bool:
         """Tells whether a flow is open at this server."""
-        held = self.flows.get(ends)
-        return self.alive and held is not None and held.end is not None
+        flow = self.flows.get(ends)
+        return self.alive and flow is not None and flow.end is not None
--- a/notchhoist/testing/opaque/store_link.py
+++ b/notchhoist/testing/opaque/store_link.py
@@ -38,11 +38,11 @@
             self._call_again(host, generation)
             return
         self.world.store.calls += 1
-        host.calling += 1
-        number = host.calling
+        host.request_number += 1
+        number = host.request_number
         self.world.later(
             call.timeout_s,
-            lambda: self._on_no_answer(host, generation, number, "timeout"),
+            lambda: self._on_failed(host, generation, number, "timeout"),
         )
         trouble = self.world.store.trouble_for(host.ip)
         if trouble == "silent" or self._is_cut(host):
@@ -51,7 +51,7 @@
         if trouble == "reset":
             self.world.later(
                 delay,
-                lambda: self._on_no_answer(host, generation, number, "reset"),
+                lambda: self._on_failed(host, generation, number, "reset"),
             )
         elif trouble:
             status = {"busy": 503, "many": 429}[trouble]
@@ -144,7 +144,7 @@
         return self.world.network.is_cut(host.ip, host.ip)
 
     def _is_current(self, host: Host, generation: int, number: int) -> bool:
-        same = host.generation == generation and host.calling == number
+        same = host.generation == generation and host.request_number == number
         return same and host.node is not None
 
     def _on_answer(
@@ -152,13 +152,13 @@
     ) -> None:
         if not self._is_current(host, generation, number):
             return
-        host.calling += 1
+        host.request_number += 1
         if host.feeder is not None:
             headers = self.world.store.headers()
             host.feeder.on_answer(status, body, self.world.now, headers)
         self._call_again(host, generation)
 
-    def _on_no_answer(
+    def _on_failed(
         self, host: Host, generation: int, number: int, reason: str
     ) -> None:
         if not self._is_current(host, generation, number):
@@ -167,10 +167,10 @@
             # A stalled process reads queued responses before it times out.
             self.world.later(
                 POLL_S,
-                lambda: self._on_no_answer(host, generation, number, reason),
+                lambda: self._on_failed(host, generation, number, reason),
             )
             return
-        host.calling += 1
+        host.request_number += 1
         if host.feeder is not None:
             silent = reason in ("silent", "cut")
             host.feeder.on_failed(reason, self.world.now, silent)
--- a/notchhoist/testing/opaque/streams.py
+++ b/notchhoist/testing/opaque/streams.py
@@ -8,8 +8,8 @@
 
 MODULUS = 1 << 32
 WINDOW = 16
-FIRST_COPY_S = 0.2
-LAST_COPY_S = 1.6
+INITIAL_RETRANSMIT_S = 0.2
+MAX_RETRANSMIT_S = 1.6
 DELAYED_ACK_S = 0.04
 
 Emit = Callable[[int, int, int, bytes], None]
@@ -21,8 +21,8 @@
     data: bytes
     flags: int
     due: float
-    pause: float = FIRST_COPY_S
-    copies: int = 0
+    timeout: float = INITIAL_RETRANSMIT_S
+    retransmits: int = 0
 
 
 @attrs.define(eq=False)
@@ -33,10 +33,10 @@
         emit: Sends a packet.
         next_seq: Sequence number of the next byte to send.
         next_in: Number of the next byte expected.
-        max_copies: Retransmissions of a packet before the flow fails.
+        max_retransmits: Retransmissions of a packet before the flow fails.
         sent: Unacknowledged packets by sequence number.
         unsent: Packets that wait for room in the window.
-        early: Packets received out of order, by sequence number.
+        out_of_order: Packets received out of order, by sequence number.
         unacknowledged: Packets received since the last acknowledgement.
         ack_due: When the next acknowledgement is due, seconds.
         peer_closed: The other end has closed its stream.
@@ -46,10 +46,10 @@
     emit: Emit
     next_seq: int
     next_in: int
-    max_copies: int = 8
+    max_retransmits: int = 8
     sent: dict[int, _Sent] = attrs.Factory(dict)
     unsent: list[tuple[bytes, int]] = attrs.Factory(list)
-    early: dict[int, tuple[bytes, bool]] = attrs.Factory(dict)
+    out_of_order: dict[int, tuple[bytes, bool]] = attrs.Factory(dict)
     unacknowledged: int = 0
     ack_due: float = float("inf")
     peer_closed: bool = False
@@ -64,12 +64,14 @@
         self.unsent.extend((piece, 0) for piece in pieces)
         if closes:
             self.unsent.append((b"", FIN))
-        self._fill(now)
+        self._fill_window(now)
 
-    def _fill(self, now: float) -> None:
+    def _fill_window(self, now: float) -> None:
         while self.unsent and len(self.sent) < WINDOW:
             data, flags = self.unsent.pop(0)
-            self.sent[self.next_seq] = _Sent(data, flags, now + FIRST_COPY_S)
+            self.sent[self.next_seq] = _Sent(
+                data, flags, now + INITIAL_RETRANSMIT_S
+            )
             self._send(self.next_seq, flags, data)
             length = len(data) + (1 if flags & FIN else 0)
             self.next_seq = (self.next_seq + length) % MODULUS
@@ -91,7 +93,7 @@
         if (frame.seq - self.next_in) % MODULUS >= MODULUS // 2:
             self.acknowledge()  # Retransmission: the peer missed our ack.
             return b""
-        self.early[frame.seq] = (frame.data, bool(frame.flags & FIN))
+        self.out_of_order[frame.seq] = (frame.data, bool(frame.flags & FIN))
         received = self._in_order()
         self.unacknowledged += 1
         if self.unacknowledged >= 2 or self.peer_closed:
@@ -102,8 +104,8 @@
 
     def _in_order(self) -> bytes:
         received = b""
-        while self.next_in in self.early:
-            data, closes = self.early.pop(self.next_in)
+        while self.next_in in self.out_of_order:
+            data, closes = self.out_of_order.pop(self.next_in)
             received += data
             self.peer_closed = self.peer_closed or closes
             self.next_in = (self.next_in + len(data) + closes) % MODULUS
@@ -115,19 +117,19 @@
             end = seq + len(item.data) + (1 if item.flags & FIN else 0)
             if (ack - end) % MODULUS < MODULUS // 2:
                 del self.sent[seq]
-        self._fill(now)
+        self._fill_window(now)
 
     def tick(self, now: float) -> None:
         """Sends the retransmissions and delayed acknowledgements due."""
         for seq, item in self.sent.items():
             if now < item.due:
                 continue
-            if item.copies >= self.max_copies:
+            if item.retransmits >= self.max_retransmits:
                 self.failed = True
                 return
-            item.copies += 1
-            item.pause = min(LAST_COPY_S, item.pause * 2)
-            item.due = now + item.pause
+            item.retransmits += 1
+            item.timeout = min(MAX_RETRANSMIT_S, item.timeout * 2)
+            item.due = now + item.timeout
             self._send(seq, item.flags, item.data)
         if now >= self.ack_due:
             self.acknowledge()
--- a/notchhoist/testing/opaque/world.py
+++ b/notchhoist/testing/opaque/world.py
@@ -36,17 +36,17 @@
     Judge,
 )
 from notchhoist.testing.opaque.links import make_link
-from notchhoist.testing.opaque.network import CALLER_S, KEY, Network
+from notchhoist.testing.opaque.network import CALLER_DELAY_S, KEY, Network
 from notchhoist.testing.opaque.routers import PROBE_S, Routers
 from notchhoist.testing.opaque.servers import ServerModel
 from notchhoist.testing.opaque.store import StoreModel
 from notchhoist.testing.opaque.store_link import StoreLink
 from notchhoist.testing.opaque.traffic import Workload
 
-LOCAL_S = 0.00002
+LOOPBACK_DELAY_S = 0.00002
 MODEL_TICK_S = 0.02
 SEEDS = 3
-CHECK_S = 0.25
+HOST_CHECK_TIMEOUT_S = 0.25
 """Time until a balancer's connection attempt to a silent host times out,
 seconds."""
 
@@ -250,7 +250,9 @@
         raw = encode_frame(frame, KEY)
         delay = self.network.carry(frame.src[0], host.ip, host.zone, len(raw))
         if delay < float("inf"):
-            self.later(CALLER_S + delay, lambda: self._at_balancer(host, raw))
+            self.later(
+                CALLER_DELAY_S + delay, lambda: self._at_balancer(host, raw)
+            )
 
     def _at_balancer(self, host: Host, raw: bytes) -> None:
         def take() -> None:
@@ -280,7 +282,9 @@
                 case effects.SendBackend():
                     self._to_server(host, effect.datagram)
                 case effects.CheckBackend():
-                    self.later(LOCAL_S, lambda: self._check(host))
+                    self.later(
+                        LOOPBACK_DELAY_S, lambda: self._check_backend(host)
+                    )
                 case effects.CheckHost():
                     self._check_host(host, effect.host)
                 case effects.ConfirmView():
@@ -297,7 +301,7 @@
                 return
             server.on_frame(frame, self.now)
 
-        self.later(LOCAL_S, take)
+        self.later(LOOPBACK_DELAY_S, take)
 
     def _from_server(
         self, host: Host, server: ServerModel, frame: Frame
@@ -311,9 +315,11 @@
                 segment = self.codec.decode_answer(raw)
                 self.perform(host, host.node.on_backend(segment, self.now))
 
-        self.later(LOCAL_S, lambda: self.network.when_awake(host, take))
+        self.later(
+            LOOPBACK_DELAY_S, lambda: self.network.when_awake(host, take)
+        )
 
-    def _check(self, host: Host) -> None:
+    def _check_backend(self, host: Host) -> None:
         if isinstance(host.node, AgentNode):
             listens = host.server is not None and host.server.alive
             self.perform(host, host.node.on_backend_checked(listens, self.now))
@@ -323,9 +329,11 @@
         host = self.hosts.get(target)
         reach = effects.ConnectResult.SILENT
         if host is not None and not self.network.is_cut(source.ip, target):
-            reach = host.reach()
+            reach = host.connect_result()
         silent = reach is effects.ConnectResult.SILENT
-        delay = CHECK_S if silent else 2 * self.network.cross_zone_s
+        delay = (
+            HOST_CHECK_TIMEOUT_S if silent else 2 * self.network.cross_zone_s
+        )
 
         def take() -> None:
             if isinstance(source.node, BalancerNode):
