--- a/notchhoist/testing/opaque/callers.py
+++ b/notchhoist/testing/opaque/callers.py
@@ -115,8 +115,8 @@
         )
         self.flows[flow.own] = flow
         self._send_opening(flow, 0)
-        for copy, delay in enumerate(SYN_RETRANSMITS_S, 1):
-            self.later(delay, partial(self._send_opening, flow, copy))
+        for retransmits, delay in enumerate(SYN_RETRANSMITS_S, 1):
+            self.later(delay, partial(self._send_opening, flow, retransmits))
         self.later(
             OPENING_TIMEOUT_S,
             lambda: self._on_not_opened(flow, now + OPENING_TIMEOUT_S),
--- a/notchhoist/testing/opaque/network.py
+++ b/notchhoist/testing/opaque/network.py
@@ -88,7 +88,7 @@
         elif host.node is not None:
             action()
 
-    def leave(
+    def send(
         self,
         host: Host,
         port: SocketRole,
--- a/notchhoist/testing/opaque/routers.py
+++ b/notchhoist/testing/opaque/routers.py
@@ -59,8 +59,8 @@
         """Probes the readiness of every process."""
         for host in self.hosts.values():
             node = host.node
-            is_ready = node is not None and not host.frozen and node.is_ready
-            host.failed_probes = 0 if is_ready else host.failed_probes + 1
+            passed = node is not None and not host.frozen and node.is_ready
+            host.failed_probes = 0 if passed else host.failed_probes + 1
 
 
 def hash_text(text: str) -> int:
--- a/notchhoist/testing/opaque/streams.py
+++ b/notchhoist/testing/opaque/streams.py
@@ -136,5 +136,7 @@
 
     def due(self) -> float:
         """Returns when ``tick`` must be called next, seconds."""
-        copies = min((item.due for item in self.sent.values()), default=9e9)
-        return min(copies, self.ack_due)
+        next_retransmit = min(
+            (item.due for item in self.sent.values()), default=9e9
+        )
+        return min(next_retransmit, self.ack_due)
--- a/notchhoist/testing/opaque/world.py
+++ b/notchhoist/testing/opaque/world.py
@@ -267,16 +267,16 @@
         for effect in todo:
             match effect:
                 case effects.SendAgent(target, raw, flow, seq):
-                    self.network.leave(
+                    self.network.send(
                         host, SocketRole.PEERS, target, raw, flow, seq
                     )
                 case effects.SendBalancer(target, raw):
-                    self.network.leave(host, SocketRole.PEERS, target, raw)
+                    self.network.send(host, SocketRole.PEERS, target, raw)
                 case effects.SendPeer(target, message):
                     raw = encode_message(message)
-                    self.network.leave(host, SocketRole.CONTROL, target, raw)
+                    self.network.send(host, SocketRole.CONTROL, target, raw)
                 case effects.SendCaller(target, raw, flow, seq):
-                    self.network.leave(
+                    self.network.send(
                         host, SocketRole.PACKETS, target, raw, flow, seq
                     )
                 case effects.SendBackend():
@@ -327,10 +327,10 @@
     def _check_host(self, source: Host, target: str) -> None:
         """Simulates a balancer's connection attempt to another host."""
         host = self.hosts.get(target)
-        reach = effects.ConnectResult.SILENT
+        result = effects.ConnectResult.SILENT
         if host is not None and not self.network.is_cut(source.ip, target):
-            reach = host.connect_result()
-        silent = reach is effects.ConnectResult.SILENT
+            result = host.connect_result()
+        silent = result is effects.ConnectResult.SILENT
         delay = (
             HOST_CHECK_TIMEOUT_S if silent else 2 * self.network.cross_zone_s
         )
@@ -339,7 +339,7 @@
             if isinstance(source.node, BalancerNode):
                 node = source.node
                 self.perform(
-                    source, node.on_host_checked(target, reach, self.now)
+                    source, node.on_host_checked(target, result, self.now)
                 )
 
         self.later(delay, lambda: self.network.when_awake(source, take))
