--- a/notchhoist/testing/opaque/network.py
+++ b/notchhoist/testing/opaque/network.py
@@ -88,7 +88,7 @@
         elif host.node is not None:
             action()
 
-    def send(
+    def send_datagram(
         self,
         host: Host,
         port: SocketRole,
--- a/notchhoist/testing/opaque/world.py
+++ b/notchhoist/testing/opaque/world.py
@@ -267,16 +267,20 @@
         for effect in todo:
             match effect:
                 case effects.SendAgent(target, raw, flow, seq):
-                    self.network.send(
+                    self.network.send_datagram(
                         host, SocketRole.PEERS, target, raw, flow, seq
                     )
                 case effects.SendBalancer(target, raw):
-                    self.network.send(host, SocketRole.PEERS, target, raw)
+                    self.network.send_datagram(
+                        host, SocketRole.PEERS, target, raw
+                    )
                 case effects.SendPeer(target, message):
                     raw = encode_message(message)
-                    self.network.send(host, SocketRole.CONTROL, target, raw)
+                    self.network.send_datagram(
+                        host, SocketRole.CONTROL, target, raw
+                    )
                 case effects.SendCaller(target, raw, flow, seq):
-                    self.network.send(
+                    self.network.send_datagram(
                         host, SocketRole.PACKETS, target, raw, flow, seq
                     )
                 case effects.SendBackend():
