--- a/notchhoist/testing/opaque/callers.py
+++ b/notchhoist/testing/opaque/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep flows or open one a request, and retry by the rules."""
+"""Models of callers, which reuse flows or open one for each request."""
 
 import random
 from collections.abc import Callable
@@ -16,29 +16,29 @@
     write_request,
 )
 
-COPIES_S = (0.2, 0.6)
-OPENING_S = 1.4
-RETRIES = 2
+SYN_RETRANSMITS_S = (0.2, 0.6)
+OPENING_TIMEOUT_S = 1.4
+MAX_RETRIES = 2
 FIRST_PORT = 40_000
 SERVICE_HOST = "198.18.0.1"
-USERS = 3
+MAX_IDLE_FLOWS = 3
 
 
 @attrs.define(eq=False)
 class Pending:
-    """A request that its caller waits for."""
+    """A request that waits for its answer; ``over`` once it has an outcome."""
 
     number: int
     workload: Workload
     started_at: float
     work_ms: int
-    retries: int = RETRIES
+    retries: int = MAX_RETRIES
     over: bool = False
 
 
 @attrs.define(eq=False)
 class Flow:
-    """A flow at the caller; ``end`` is None until it has opened."""
+    """A flow at its caller; ``end`` is None until the flow is open."""
 
     own: Address
     service: Address
@@ -56,15 +56,16 @@
     Attributes:
         zone: Name of the zone.
         hosts: Their IP numbers.
-        rng: Source of every draw.
-        judge: Sees what they see.
+        rng: Source of random draws.
+        judge: Records what the callers observe.
         send: Sends a packet to the routers.
-        later: Calls back after a delay.
-        register: Makes the workload of a request known to the servers.
-        is_alive: Tells whether some server holds a flow.
+        later: Schedules an action after a delay, seconds.
+        register: Numbers a request and tells the servers its workload.
+        is_alive: Tells whether a running server holds a flow.
         flows: Flows by the caller's address.
-        idle: Open flows without a request, by host and kind.
-        next_port: The next flow's port.
+        idle: Open flows without a pending request, by host and kind of
+            request.
+        next_port: Port of the newest flow.
     """
 
     zone: str
@@ -80,16 +81,20 @@
     next_port: int = FIRST_PORT
 
     def ask(self, workload: Workload, now: float) -> None:
-        """Begins a request."""
+        """Sends a new request on an idle flow or a new one.
+
+        A request is retried where its flow did not open or the server
+        rejected it; after a reset only if it is safe to repeat.
+        """
         mean = workload.work_ms
         work_ms = max(1, int(self.rng.gammavariate(4, mean / 4)))
         pending = Pending(self.register(workload), workload, now, work_ms)
         self.judge.tallies[workload.name].asked += 1
         deadline = workload.deadline_s
         self.later(deadline, lambda: self._on_deadline(pending, now + deadline))
-        self._try(pending, now)
+        self._send_request(pending, now)
 
-    def _try(self, pending: Pending, now: float) -> None:
+    def _send_request(self, pending: Pending, now: float) -> None:
         host = self.rng.choice(self.hosts)
         idle = self.idle.get((host, pending.workload.name), [])
         while idle:
@@ -110,15 +115,18 @@
         )
         self.flows[flow.own] = flow
         self._send_opening(flow, 0)
-        for copy, delay in enumerate(COPIES_S, 1):
-            self.later(delay, partial(self._send_opening, flow, copy))
+        for retransmits, delay in enumerate(SYN_RETRANSMITS_S, 1):
+            self.later(delay, partial(self._send_opening, flow, retransmits))
         self.later(
-            OPENING_S, lambda: self._on_not_opened(flow, now + OPENING_S)
+            OPENING_TIMEOUT_S,
+            lambda: self._on_not_opened(flow, now + OPENING_TIMEOUT_S),
         )
 
-    def _send_opening(self, flow: Flow, copy: int) -> None:
+    def _send_opening(self, flow: Flow, retransmits: int) -> None:
         if flow.end is None and not flow.closed:
-            self.send(Frame(flow.own, flow.service, SYN, flow.first_seq, copy))
+            self.send(
+                Frame(flow.own, flow.service, SYN, flow.first_seq, retransmits)
+            )
 
     def _on_not_opened(self, flow: Flow, now: float) -> None:
         if flow.end is None and not flow.closed:
@@ -135,7 +143,7 @@
             end.write(text, now)
 
     def on_frame(self, frame: Frame, now: float) -> None:
-        """Takes a packet for one of the callers."""
+        """Handles a packet for one of the callers."""
         flow = self.flows.get(frame.dst)
         if flow is None or flow.closed:
             return
@@ -149,14 +157,14 @@
 
     def _on_accepted(self, flow: Flow, frame: Frame, now: float) -> None:
         if flow.end is not None:
-            return  # Another server's acceptance, or a copy.
+            return  # Redundant acceptance or retransmission.
         flow.end = StreamEnd(
             lambda flags, seq, ack, data: self.send(
                 Frame(flow.own, flow.service, flags, seq, ack, data)
             ),
             (flow.first_seq + 1) % (1 << 32),
             (frame.seq + 1) % (1 << 32),
-            max_copies=1000,
+            max_retransmits=1000,
         )
         self._write(flow, flow.end, now)
 
@@ -192,13 +200,15 @@
             pending.over = True
             latency_s = now - pending.started_at
             self._end(pending, "answered", latency_s)
-        self._rest(flow, pending.workload, now)
+        self._keep_or_close(flow, pending.workload, now)
 
-    def _rest(self, flow: Flow, workload: Workload, now: float) -> None:
+    def _keep_or_close(
+        self, flow: Flow, workload: Workload, now: float
+    ) -> None:
         key = (flow.own[0], workload.name)
-        resting = self.idle.setdefault(key, [])
-        if workload.long_flows and len(resting) < USERS:
-            resting.append(flow)
+        idle_flows = self.idle.setdefault(key, [])
+        if workload.long_flows and len(idle_flows) < MAX_IDLE_FLOWS:
+            idle_flows.append(flow)
         elif flow.end is not None:
             flow.end.write(b"", now, closes=True)
             self.later(2.0, lambda: self._drop(flow))
@@ -210,7 +220,7 @@
         if pending.retries and (safe or reason != "reset"):
             pending.retries -= 1
             pending.number = self.register(pending.workload)
-            self._try(pending, now)
+            self._send_request(pending, now)
             return
         pending.over = True
         outcome = "failed" if reason == "reset" else "refused"
@@ -242,7 +252,7 @@
         self.flows.pop(flow.own, None)
 
     def tick(self, now: float) -> None:
-        """Sends copies that are due."""
+        """Sends due retransmissions and acknowledgements."""
         for flow in list(self.flows.values()):
             if flow.end is not None:
                 flow.end.tick(now)
--- a/notchhoist/testing/opaque/config_judge.py
+++ b/notchhoist/testing/opaque/config_judge.py
@@ -1,4 +1,4 @@
-"""What must hold of the configuration at every balancer, at every moment."""
+"""Checks the invariants of the configuration at every balancer."""
 
 import bisect
 import json
@@ -14,9 +14,10 @@
 from notchhoist.testing.opaque.world import OpaqueWorld
 
 APPLY_S = 3.0
-"""A configuration is in force so long after its acknowledgement, seconds."""
+"""Propagation deadline: time from the store's acknowledgement until every
+balancer must have applied a configuration, seconds."""
 
-LOOK_EVERY_S = 0.02
+CHECK_INTERVAL_S = 0.02
 
 
 @attrs.frozen
@@ -24,8 +25,8 @@
     """A configuration that the store has acknowledged.
 
     Attributes:
-        at: When, seconds.
-        version: Its version.
+        at: When the store acknowledged it, seconds.
+        version: Version of the configuration.
         digest: Digest of its routes.
     """
 
@@ -36,15 +37,16 @@
 
 @attrs.define(eq=False)
 class ConfigurationJudge:
-    """Looks at every balancer's configuration.
+    """Checks every balancer's configuration periodically.
 
     Attributes:
-        world: The world.
-        published: The configurations, in their order.
-        disturbed: Until when each host was disturbed, seconds.
-        newest: Newest version in force in each life of a process.
-        broken: What was broken, each fault of a life once.
-        oldest_s: How late a configuration came into force at most in calm.
+        world: The simulated world.
+        published: The configurations in order of publication.
+        disturbed: When the last disturbance of each host ends, seconds.
+        newest: Newest version in force by host and process generation.
+        broken: Violations, each at most once for a process generation.
+        oldest_s: Greatest age of a published version that a balancer had not
+            applied yet, outside of disturbances, seconds.
     """
 
     world: OpaqueWorld
@@ -55,9 +57,9 @@
     oldest_s: float = 0.0
 
     def start(self) -> None:
-        """Begins to look, again and again."""
-        self._look()
-        self.world.later(LOOK_EVERY_S, self.start)
+        """Checks all balancers now, and again at each interval."""
+        self._check()
+        self.world.later(CHECK_INTERVAL_S, self.start)
 
     def publish(self, document: dict[str, object]) -> None:
         """Writes a configuration into the store."""
@@ -68,53 +70,53 @@
         self.published.append(known)
 
     def disturb(self, ip: str, for_s: float = 0.0) -> None:
-        """Notes that a host is disturbed for a time."""
+        """Records that a host is disturbed for a time, seconds."""
         until = self.world.now + for_s
         self.disturbed[ip] = max(self.disturbed.get(ip, until), until)
 
     def is_in_touch(self, ip: str) -> bool:
-        """Tells whether bounds of time hold for a host."""
+        """Tells whether deadlines hold for a host."""
         since = self.world.now - self.disturbed.get(ip, float("-inf"))
         return since >= CONTACT_S
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         for host in self.world.hosts.values():
             if isinstance(host.node, BalancerNode) and not host.frozen:
-                for fault, subject, detail in self._faults(host, host.node):
+                for fault, subject, detail in self._violations(host, host.node):
                     key = (fault, host.ip, host.generation, subject)
                     text = f"{self.world.now:.3f} {fault} {host.ip}: {detail}"
                     self.broken.setdefault(key, text)
 
-    def _faults(
+    def _violations(
         self, host: Host, node: BalancerNode
     ) -> Iterator[tuple[str, int, str]]:
-        """Yields the faults that show now: kind, version and detail."""
+        """Yields the current violations: rule, version and detail."""
         board, now = node.board, self.world.now
         version = board.table.version if board.table else 0
         newest = self._newest_at(board.confirmed_at)
         if newest is not None and newest.version > version:
             detail = f"{newest.version} was published when {version} was sure"
             yield "UNTRUE", newest.version, detail
-        life = (host.ip, host.generation)
-        if version < self.newest.get(life, 0):
-            yield "BACK", version, f"{version} after {self.newest[life]}"
-        self.newest[life] = max(version, self.newest.get(life, 0))
+        process = (host.ip, host.generation)
+        if version < self.newest.get(process, 0):
+            yield "BACK", version, f"{version} after {self.newest[process]}"
+        self.newest[process] = max(version, self.newest.get(process, 0))
         if not version:
             return
-        [same] = [item for item in self.published if item.version == version]
-        if board.view.digest != same.digest:
+        [current] = [item for item in self.published if item.version == version]
+        if board.view.digest != current.digest:
             yield "OTHER", version, f"{version} has other routes"
         if not self.is_in_touch(host.ip):
             return
-        place = self.published.index(same) + 1
-        if place < len(self.published):
-            late_s = now - self.published[place].at
+        next_index = self.published.index(current) + 1
+        if next_index < len(self.published):
+            late_s = now - self.published[next_index].at
             self.oldest_s = max(self.oldest_s, late_s)
             if late_s > APPLY_S:
-                missed = self.published[place].version
+                missed = self.published[next_index].version
                 yield "LATE", missed, f"{missed} after {late_s:.3f} s"
 
     def _newest_at(self, when: float) -> Published | None:
-        """Returns the newest configuration that was published by a time."""
-        place = bisect.bisect_left(self.published, when, key=lambda p: p.at)
-        return self.published[place - 1] if place else None
+        """Returns the newest configuration published before a time."""
+        count = bisect.bisect_left(self.published, when, key=lambda p: p.at)
+        return self.published[count - 1] if count else None
