--- a/benchmarks/bench_balance.py
+++ b/benchmarks/bench_balance.py
@@ -29,7 +29,7 @@
 
 def print_row(plan, load, name, adapt, seconds):
     """Prints the figures of one load test."""
-    figures = rehearsal.run_night(plan, load, seconds, SEED, adapt)
+    figures = rehearsal.run_load_test(plan, load, seconds, SEED, adapt)
     kinds = "; ".join(
         f"{kind} {figures.answered[kind]} answered, "
         f"{figures.refused[kind]} refused, {figures.unknown[kind]} unknown, "
@@ -40,7 +40,7 @@
     refusal = figures.refusal_latencies.get_value_at_percentile(50) / 1000
     print(
         f"  {load:.1f} {name:12} imbalance {figures.imbalance:.2f}; {kinds}; "
-        f"refusal p50 {refusal:.0f} ms; over slots {figures.over}, "
+        f"refusal p50 {refusal:.0f} ms; over slots {figures.overfull_samples}, "
         f"violations {figures.violations}"
     )
 
--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -118,7 +118,7 @@
     """
     fleet = make_fleet(20, 3)
     world = fleet.world
-    fleet.everywhere_after(5.0)
+    fleet.propagation_time(5.0)
     node = world.hosts[fleet.configuration.balancers[0].peer].node
     share = agents / TARGET_AGENTS
     pings = int(share * TARGET_AGENTS * 3 / 580 * SECONDS)
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -33,7 +33,7 @@
     """Prints and returns the figures of one network size."""
     fleet = make_fleet(size, seed=3)
     world = fleet.world
-    at_start = fleet.everywhere_after(LIMIT_S)
+    at_start = fleet.propagation_time(LIMIT_S)
     world.run(5.0)
     before = collections.Counter(world.bytes_by_type)
     reads = world.platform.reads
@@ -45,7 +45,7 @@
     began = world.now
     for number in range(CHANGES):
         fleet.publish_weight(2.0 + number)
-        times.append(fleet.everywhere_after(LIMIT_S))
+        times.append(fleet.propagation_time(LIMIT_S))
         world.run(2.0)
     busy_s = world.now - began
     change_bytes = (bytes_per_daemon(fleet, before, busy_s) - idle) * busy_s
--- a/benchmarks/bench_flows.py
+++ b/benchmarks/bench_flows.py
@@ -39,7 +39,7 @@
             broken.update(site.world.history.broken)
         print(
             f"  many at once       {version:16} {bad}/{seeds} seeds, "
-            f"{sum(broken.values()) / changes.flows_of_run() / seeds:6.2%} "
+            f"{sum(broken.values()) / changes.count_flows() / seeds:6.2%} "
             f"{dict(sorted(broken.items()))}"
         )
 
@@ -47,7 +47,7 @@
 def main():
     """Prints a row for each change."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
-    total = changes.flows_of_run() * seeds
+    total = changes.count_flows() * seeds
     print(f"{total} streams and uploads each, broken in percent by cause")
     for name, change in [
         ("no change", lambda site: None),
--- a/benchmarks/bench_once.py
+++ b/benchmarks/bench_once.py
@@ -20,7 +20,7 @@
 REQUESTS = 200
 KINDS = ("GrantRequest", "GrantReply")
 VERSIONS = {
-    "naive": baselines.without_memory,
+    "naive": baselines.without_witnesses,
     "one witness": baselines.single_witness,
     "two of three": None,
 }
@@ -48,7 +48,7 @@
     configuration = build_world(
         world, (chaos.PLAN,), memory_s=chaos.MEMORY_S, service_s=0.01
     )
-    chaos.trust_first_start(world)
+    chaos.assume_complete_memory(world)
     world.run(2.0)
     if dead:
         world.kill(configuration.services[0].servers[0].agent)
@@ -78,8 +78,8 @@
     """Runs every version under faults, then measures its cost."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
     for title, gap_s in (
-        ("storm", chaos.STORM_GAP_S),
-        ("bad day", chaos.MILD_GAP_S),
+        ("storm", chaos.FREQUENT_FAULT_GAP_S),
+        ("bad day", chaos.OCCASIONAL_FAULT_GAP_S),
     ):
         print(f"{title}: {seeds} seeds, a fault every {gap_s} s")
         for name, adapt in VERSIONS.items():
--- a/benchmarks/bench_recovery.py
+++ b/benchmarks/bench_recovery.py
@@ -31,7 +31,7 @@
     configuration = build_world(
         world, (chaos.PLAN,), memory_s=chaos.MEMORY_S, service_s=0.05
     )
-    chaos.trust_first_start(world)
+    chaos.assume_complete_memory(world)
     world.run(2.0)
     return world, configuration.services[0]
 
@@ -128,7 +128,7 @@
             pinned[agent] = streams_of(site, agent)
         for agent in group:
             site.replace(agent)
-        site.world.run(changes.AWAY_S + 0.001)
+        site.world.run(changes.RESTART_DELAY_S + 0.001)
         began = site.world.now
         missing = {(agent, what) for agent in group for what in STATE_KINDS}
         while missing and site.world.now - began < RECOVERY_LIMIT_S:
--- a/benchmarks/bench_retries.py
+++ b/benchmarks/bench_retries.py
@@ -55,7 +55,7 @@
     """Runs the experiment; returns the world and when it became slow."""
     world = World(random.Random(seed), adapt=adapt)
     deployment.build_world(world, (ROSTER,), service_s=SERVICE_S)
-    chaos.trust_first_start(world)
+    chaos.assume_complete_memory(world)
     world.run(2.0)
     duration = QUIET_S + slow_s + AFTER_S
     rehearsal.schedule_arrivals(world, ROSTER, load, duration)
--- a/notchhoist/controllers/tests/test_config_sync.py
+++ b/notchhoist/controllers/tests/test_config_sync.py
@@ -10,7 +10,7 @@
 
 def start_fleet(nodes=24, seed=5):
     fleet = make_fleet(nodes, seed)
-    assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
+    assert fleet.propagation_time(IN_FORCE_S) <= IN_FORCE_S
     fleet.world.run(3.0)
     return fleet
 
@@ -27,7 +27,7 @@
     fleet = start_fleet()
     for weight in (2.0, 3.0, 4.0):
         fleet.publish_weight(weight)
-        assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
+        assert fleet.propagation_time(IN_FORCE_S) <= IN_FORCE_S
         fleet.world.run(1.0)
 
 
@@ -56,21 +56,21 @@
     fleet = start_fleet(nodes=10)
     fleet.publish_weight(2.0)
     fleet.world.run(0.2)
-    assert fleet.behind() == 0
+    assert fleet.count_outdated() == 0
 
 
 def test_change_arrives_with_30_percent_message_loss():
     fleet = start_fleet()
     fleet.world.loss = 0.3
     fleet.publish_weight(2.0)
-    assert fleet.everywhere_after(3 * IN_FORCE_S) <= 3 * IN_FORCE_S
+    assert fleet.propagation_time(3 * IN_FORCE_S) <= 3 * IN_FORCE_S
 
 
 def test_stale_platform_does_not_revert_a_restarted_process():
     fleet = start_fleet()
     old = fleet.world.platform.document
     fleet.publish_weight(2.0)
-    fleet.everywhere_after(IN_FORCE_S)
+    fleet.propagation_time(IN_FORCE_S)
     fleet.world.platform.stale = old
     peer = fleet.configuration.balancers[1].peer
     fleet.world.kill(peer)
@@ -82,7 +82,7 @@
 def test_last_good_configuration_survives_a_platform_outage():
     fleet = start_fleet()
     fleet.publish_weight(2.0)
-    fleet.everywhere_after(IN_FORCE_S)
+    fleet.propagation_time(IN_FORCE_S)
     fleet.world.platform.down = True
     peer = fleet.configuration.services[0].agents()[0]
     fleet.world.kill(peer)
@@ -91,7 +91,7 @@
     assert revisions(fleet) == [2] * len(fleet.world.hosts)
     fleet.world.platform.down = False
     fleet.publish_weight(3.0)
-    assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
+    assert fleet.propagation_time(IN_FORCE_S) <= IN_FORCE_S
 
 
 def test_newest_revision_is_everywhere_after_a_partition_heals():
@@ -104,7 +104,7 @@
     fleet.publish_weight(3.0)
     fleet.world.run(5.0)
     fleet.world.heal()
-    assert fleet.everywhere_after(IN_FORCE_S) <= IN_FORCE_S
+    assert fleet.propagation_time(IN_FORCE_S) <= IN_FORCE_S
 
 
 def test_change_arrives_after_all_watchers_but_one_died():
--- a/notchhoist/controllers/tests/test_load.py
+++ b/notchhoist/controllers/tests/test_load.py
@@ -12,11 +12,11 @@
 
 @pytest.fixture(scope="module")
 def overload():
-    return rehearsal.run_night(deployment.HALLBOOK, 1.2, 8.0, seed=1)
+    return rehearsal.run_load_test(deployment.HALLBOOK, 1.2, 8.0, seed=1)
 
 
 def test_overload_breaks_no_guarantee(overload):
-    assert overload.over == 0
+    assert overload.overfull_samples == 0
     assert overload.violations == 0
 
 
@@ -36,12 +36,12 @@
 
 def test_no_booking_is_refused_at_half_load():
     """One server is in slow start and one sheds; the others have free slots."""
-    balanced = rehearsal.run_night(deployment.HALLBOOK, 0.5, 10.0, seed=2)
+    balanced = rehearsal.run_load_test(deployment.HALLBOOK, 0.5, 10.0, seed=2)
     assert balanced.refused["booking"] == 0
 
 
 def test_random_placement_refuses_bookings_at_half_load():
-    unbalanced = rehearsal.run_night(
+    unbalanced = rehearsal.run_load_test(
         deployment.HALLBOOK, 0.5, 10.0, 2, baselines.random_placement
     )
     assert unbalanced.refused["booking"] > 0
@@ -63,7 +63,7 @@
         world.add_caller(model.Endpoint(f"172.20.0.{number}", 7), [task])
         world.run(0.2)
     assert world.run_until(world.callers_done, 60.0)
-    assert backend.seen > 0
+    assert backend.requests_received > 0
     results = {t.result for t in world.history.told if t.kind == "checkin"}
     assert results == {Result.ANSWERED}
     assert world.history.check() == []
@@ -146,7 +146,7 @@
     )
     plan = changes.attrs.evolve(chaos.PLAN, kinds=kinds)
     deployment.build_world(world, (plan,), service_s=service_s)
-    chaos.trust_first_start(world)
+    chaos.assume_complete_memory(world)
     world.run(2.0)
     return world
 
@@ -183,7 +183,7 @@
 def test_planned_stop_waits_for_running_requests():
     world = chaos.World(random.Random(3))
     deployment.build_world(world, (chaos.PLAN,), service_s=1.0)
-    chaos.trust_first_start(world)
+    chaos.assume_complete_memory(world)
     world.run(2.0)
     task = Task("roster", "GET", chaos.PLAN.name, "r1")
     world.add_caller(model.Endpoint("172.22.0.1", 7), [task])
--- a/notchhoist/controllers/tests/test_once.py
+++ b/notchhoist/controllers/tests/test_once.py
@@ -19,7 +19,7 @@
 def make_world(seed=1, adapt=None):
     world = World(random.Random(seed), adapt=adapt)
     build_world(world, (chaos.PLAN,), memory_s=chaos.MEMORY_S, service_s=1.0)
-    chaos.trust_first_start(world)
+    chaos.assume_complete_memory(world)
     world.run(2.0)
     return world
 
@@ -63,7 +63,7 @@
 
 
 def test_agent_killed_during_the_run_breaks_the_baseline():
-    world = make_world(adapt=baselines.without_memory)
+    world = make_world(adapt=baselines.without_witnesses)
     run_until_started(world)
     world.kill(executing_agent(world))
     world.run_until(world.callers_done, 120.0)
@@ -126,7 +126,7 @@
     """
     world = make_world()
     entry = pause_balancer_with_backlog(world)
-    world.hosts[entry].keeps_backlog = True
+    world.hosts[entry].handles_stale_backlog = True
     assert world.run_until(world.callers_done, 30.0)
     world.run(LONG_PAUSE_S)
     assert [item.promise for item in world.history.check()] == ["at most once"]
@@ -241,6 +241,8 @@
     broken = [
         seed
         for seed in (1, 3, 5)
-        if chaos.run_chaos(seed, baselines.without_memory).world.history.check()
+        if chaos.run_chaos(
+            seed, baselines.without_witnesses
+        ).world.history.check()
     ]
     assert broken
--- a/notchhoist/controllers/tests/test_opaque.py
+++ b/notchhoist/controllers/tests/test_opaque.py
@@ -47,7 +47,7 @@
     world = World(random.Random(6))
     plan = attrs.evolve(chaos.PLAN, kinds=())
     deployment.build_world(world, (plan,))
-    chaos.trust_first_start(world)
+    chaos.assume_complete_memory(world)
     for peer in list(world.backends):
         world.backends[peer] = Echo(world.hosts[peer].name)
     world.callers[CALLER] = Listener()
--- a/notchhoist/testing/backend.py
+++ b/notchhoist/testing/backend.py
@@ -119,8 +119,8 @@
         in_progress: Requests in progress by source and message ID.
         peak: Largest number of requests in progress at the same time.
         finished: Number of requests that finished before their deadline.
-        seen: Number of requests received, without retransmissions and load
-            queries.
+        requests_received: Number of requests received, without retransmissions
+            and load queries.
         answers: Responses by source and message ID, resent for
             retransmitted requests.
         observers: Observers by source and token.
@@ -139,7 +139,7 @@
     in_progress: dict[tuple[model.Endpoint, int], Work] = attrs.Factory(dict)
     peak: int = 0
     finished: int = 0
-    seen: int = 0
+    requests_received: int = 0
     answers: OrderedDict[tuple[model.Endpoint, int], bytes] = attrs.Factory(
         OrderedDict
     )
@@ -188,7 +188,7 @@
     ) -> list[Reply]:
         if request.path[:1] == (LOAD_PATH,):
             return [self._load_response(request, source, now)]
-        self.seen += 1
+        self.requests_received += 1
         if not self._matches_service(request):
             self.history.misdirected.append(request_name(request))
         is_continuation = wire.is_block_continuation(request)
@@ -221,7 +221,7 @@
 
     def _should_shed(self) -> bool:
         every = self.profile.shed_every
-        if every and self.seen % every == 0:
+        if every and self.requests_received % every == 0:
             return True
         return len(self.in_progress) >= self.profile.slots
 
--- a/notchhoist/testing/baselines.py
+++ b/notchhoist/testing/baselines.py
@@ -52,7 +52,7 @@
     node.runs.claims = claims
 
 
-def without_memory(node: controllers.Node) -> None:
+def without_witnesses(node: controllers.Node) -> None:
     """Baseline without witnesses."""
     replace_claims(node, AlwaysGrantedClaims)
 
--- a/notchhoist/testing/caller.py
+++ b/notchhoist/testing/caller.py
@@ -16,7 +16,7 @@
 from aiocoap.optiontypes import BlockOption
 
 from notchhoist import model, wire
-from notchhoist.testing.history import History, Result, Told
+from notchhoist.testing.history import FinalResult, History, Result
 
 ACK_TIMEOUT_S = 2.0
 ACK_RANDOM = 1.5
@@ -256,7 +256,7 @@
         if result is Result.SILENT and self.block > 0:
             self.history.broken["upload_silent"] += 1
         self.history.told.append(
-            Told(
+            FinalResult(
                 at=now,
                 service=task.service,
                 request=task.name,
--- a/notchhoist/testing/changes.py
+++ b/notchhoist/testing/changes.py
@@ -11,7 +11,7 @@
     IDLE_S,
     MEMORY_S,
     PLAN_FLOWS,
-    trust_first_start,
+    assume_complete_memory,
 )
 from notchhoist.testing.deployment import add_server, build_world, server_of
 from notchhoist.testing.world import World
@@ -25,7 +25,7 @@
 WARM_UP_S = 5.0
 TIME_LIMIT_S = 150.0
 REPLACE_EVERY_S = 4.0
-AWAY_S = 2.0
+RESTART_DELAY_S = 2.0
 
 
 @attrs.define
@@ -116,7 +116,7 @@
                 world.entries.append(peer)
 
         world.at(delay, leave)
-        world.at(delay + AWAY_S, come_back)
+        world.at(delay + RESTART_DELAY_S, come_back)
 
     def kill_host(self) -> None:
         """Kills the first agent and its backend server for good."""
@@ -162,7 +162,7 @@
         idle_s=IDLE_S,
         service_s=SERVICE_S,
     )
-    trust_first_start(world)
+    assume_complete_memory(world)
     world.run(2.0)
     _add_callers(world)
     world.run(WARM_UP_S)
@@ -197,7 +197,7 @@
         world.add_caller(model.Endpoint(f"172.17.0.{number + 1}", 5), tasks)
 
 
-def flows_of_run() -> int:
+def count_flows() -> int:
     """Returns the number of streams and uploads in a run."""
     return STREAMS + UPLOADS * UPLOADS_EACH
 
--- a/notchhoist/testing/chaos.py
+++ b/notchhoist/testing/chaos.py
@@ -26,10 +26,10 @@
 DEADLINE_S = 3.0
 IDLE_S = 20.0
 SERVICE_S = 0.2
-STORM_GAP_S = 0.8
+FREQUENT_FAULT_GAP_S = 0.8
 """Mean time between frequent faults, seconds."""
 
-MILD_GAP_S = 6.0
+OCCASIONAL_FAULT_GAP_S = 6.0
 """Mean time between occasional faults, seconds."""
 
 CALLERS = 16
@@ -72,7 +72,7 @@
     world: World
     configuration: model.Configuration
     rng: random.Random
-    gap_s: float = STORM_GAP_S
+    gap_s: float = FREQUENT_FAULT_GAP_S
     added: int = 0
     faults: list[str] = attrs.Factory(list)
 
@@ -255,7 +255,7 @@
     return attrs.evolve(PLAN, slots=(3,) * (place + 1))
 
 
-def trust_first_start(world: World) -> None:
+def assume_complete_memory(world: World) -> None:
     """Marks the memory of all agents as complete.
 
     Witnesses and home agents that started recently do not answer until their
@@ -271,7 +271,7 @@
 
 
 def make_chaos(
-    seed: int, adapt: Adapt | None = None, gap_s: float = STORM_GAP_S
+    seed: int, adapt: Adapt | None = None, gap_s: float = FREQUENT_FAULT_GAP_S
 ) -> Chaos:
     """Creates a simulation with random faults.
 
@@ -295,7 +295,7 @@
     )
     rng = random.Random(seed + 1_000_003)
     chaos = Chaos(world, configuration, rng, gap_s)
-    trust_first_start(world)
+    assume_complete_memory(world)
     return chaos
 
 
@@ -318,7 +318,7 @@
 
 
 def run_chaos(
-    seed: int, adapt: Adapt | None = None, gap_s: float = STORM_GAP_S
+    seed: int, adapt: Adapt | None = None, gap_s: float = FREQUENT_FAULT_GAP_S
 ) -> Chaos:
     """Runs a simulation of bookings with random faults to its end."""
     chaos = make_chaos(seed, adapt, gap_s)
--- a/notchhoist/testing/fleet.py
+++ b/notchhoist/testing/fleet.py
@@ -53,7 +53,7 @@
         balancers = [host.peer for host in self.configuration.balancers]
         return balancers + list(self.configuration.services[0].agents())
 
-    def behind(self) -> int:
+    def count_outdated(self) -> int:
         """Returns how many affected nodes lack the newest revision."""
         newest = self.configuration.revision
         return sum(
@@ -63,7 +63,7 @@
             )
         )
 
-    def everywhere_after(self, limit: float, step: float = 0.05) -> float:
+    def propagation_time(self, limit: float, step: float = 0.05) -> float:
         """Runs until the newest revision is in force on all affected nodes.
 
         Args:
@@ -75,7 +75,7 @@
         """
         began = self.world.now
         while self.world.now - began < limit:
-            if not self.behind():
+            if not self.count_outdated():
                 return self.world.now - began
             self.world.run(step)
         return float("inf")
--- a/notchhoist/testing/history.py
+++ b/notchhoist/testing/history.py
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class Told:
+class FinalResult:
     """Record of the final result of a request at its caller.
 
     Attributes:
@@ -92,7 +92,7 @@
     """
 
     started: list[Started] = attrs.Factory(list)
-    told: list[Told] = attrs.Factory(list)
+    told: list[FinalResult] = attrs.Factory(list)
     misdirected: list[str] = attrs.Factory(list)
     broken: collections.Counter[str] = attrs.Factory(collections.Counter)
 
@@ -114,7 +114,7 @@
 
 
 def _run_after_not_run(
-    started: list[Started], told: list[Told]
+    started: list[Started], told: list[FinalResult]
 ) -> Iterator[Violation]:
     ran = {item.request for item in started if item.once}
     for item in told:
@@ -122,7 +122,7 @@
             yield Violation("truthful not run", item.request, "it was started")
 
 
-def _mismatched_answers(told: list[Told]) -> Iterator[Violation]:
+def _mismatched_answers(told: list[FinalResult]) -> Iterator[Violation]:
     for item in told:
         answered = item.result is Result.ANSWERED
         if answered and item.request not in item.payload:
--- a/notchhoist/testing/main_job.py
+++ b/notchhoist/testing/main_job.py
@@ -27,7 +27,7 @@
     SCOREDROP,
     ServicePlan,
 )
-from notchhoist.testing.history import History, Result, Told, Violation
+from notchhoist.testing.history import FinalResult, History, Result, Violation
 from notchhoist.testing.launcher import Deployment
 from notchhoist.testing.stand_in import BackendReport
 
@@ -243,11 +243,14 @@
         print(f"  {kind}: {len(told)}, {latency_text(told)}")
 
 
-def latency_text(told: Sequence[Told]) -> str:
+def latency_text(told: Sequence[FinalResult]) -> str:
     """Returns percentiles of the time from first packet to final answer.
 
     Examples:
-        >>> latency_text([Told(0, "s", "r", Result.ANSWERED, "r", 0.05, "k")])
+        >>> results = [
+        ...     FinalResult(0, "s", "r", Result.ANSWERED, "r", 0.05, "k")
+        ... ]
+        >>> latency_text(results)
         'p50 50 ms p90 50 ms p99 50 ms'
     """
     histogram = HdrHistogram(1, MAX_LATENCY_US, 2)
--- a/notchhoist/testing/opaque/changes.py
+++ b/notchhoist/testing/opaque/changes.py
@@ -18,7 +18,7 @@
 from notchhoist.flows.balancer.node import BalancerNode
 from notchhoist.testing.opaque import published, troubles
 from notchhoist.testing.opaque.config_judge import ConfigurationJudge
-from notchhoist.testing.opaque.hosts import START_S, Host
+from notchhoist.testing.opaque.hosts import HOST_START_S, Host
 from notchhoist.testing.opaque.traffic import WHANGANUI, Workload
 from notchhoist.testing.opaque.world import OpaqueWorld
 
@@ -140,7 +140,7 @@
 
     def kill(self, host: Host, for_s: float) -> None:
         """Kills a balancer."""
-        self.judge.disturb(host.ip, for_s + START_S)
+        self.judge.disturb(host.ip, for_s + HOST_START_S)
         troubles.kill(self.world, host, for_s)
 
     def freeze(self, host: Host, for_s: float) -> None:
@@ -239,7 +239,7 @@
         broken += bool(faults)
         print(
             f"{seed}: {len(run.judge.published)} changes, oldest in calm"
-            f" {run.judge.oldest_s:.3f} s, {run.world.store.calls} calls,"
+            f" {run.judge.max_lag_s:.3f} s, {run.world.store.calls} calls,"
             f" {len(faults)} faults"
         )
         for fault in faults[:8]:
--- a/notchhoist/testing/opaque/config_judge.py
+++ b/notchhoist/testing/opaque/config_judge.py
@@ -45,7 +45,7 @@
         disturbed: When the last disturbance of each host ends, seconds.
         newest: Newest version in force by host and process generation.
         broken: Violations, each at most once for a process generation.
-        oldest_s: Greatest age of a published version that a balancer had not
+        max_lag_s: Greatest age of a published version that a balancer had not
             applied yet, outside of disturbances, seconds.
     """
 
@@ -54,7 +54,7 @@
     disturbed: dict[str, float] = attrs.Factory(dict)
     newest: dict[tuple[str, int], int] = attrs.Factory(dict)
     broken: dict[tuple[object, ...], str] = attrs.Factory(dict)
-    oldest_s: float = 0.0
+    max_lag_s: float = 0.0
 
     def start(self) -> None:
         """Checks all balancers now, and again at each interval."""
@@ -111,7 +111,7 @@
         next_index = self.published.index(current) + 1
         if next_index < len(self.published):
             late_s = now - self.published[next_index].at
-            self.oldest_s = max(self.oldest_s, late_s)
+            self.max_lag_s = max(self.max_lag_s, late_s)
             if late_s > APPLY_S:
                 missed = self.published[next_index].version
                 yield "LATE", missed, f"{missed} after {late_s:.3f} s"
--- a/notchhoist/testing/opaque/hosts.py
+++ b/notchhoist/testing/opaque/hosts.py
@@ -14,7 +14,7 @@
 MAX_FAILED_PROBES = 2
 """Failed readiness probes in a row after which routers avoid a balancer."""
 
-START_S = 0.3
+HOST_START_S = 0.3
 """Time from power-on to serving, seconds; about that of an entry host with
 little CPU."""
 
--- a/notchhoist/testing/opaque/judge.py
+++ b/notchhoist/testing/opaque/judge.py
@@ -75,7 +75,7 @@
         last_disruption: When the last unplanned disruption was, seconds.
         core_disturbed_at: When the store was last disturbed, seconds.
         evacuated: Evacuated zones, and since when.
-        leaving: Draining servers, and since when.
+        draining: Draining servers, and since when.
         cold_per_s: Cold bound of a server in slow start, new flows a second;
             0 for no limit.
         cold_openings: Times of the new flows that each cold server got in the
@@ -99,7 +99,7 @@
     last_disruption: float = float("-inf")
     core_disturbed_at: float = float("-inf")
     evacuated: dict[str, float] = attrs.Factory(dict)
-    leaving: dict[str, float] = attrs.Factory(dict)
+    draining: dict[str, float] = attrs.Factory(dict)
     cold_per_s: float = 0.0
     cold_openings: dict[str, collections.deque[float]] = attrs.Factory(
         lambda: collections.defaultdict(collections.deque)
@@ -143,7 +143,7 @@
         evacuated_s = self._calm_for(self.evacuated.get(zone, now), now)
         if evacuated_s > EVACUATE_S:
             self.break_rule("EVAC", f"{server_id} in {zone}", now)
-        leaving_s = now - self.leaving.get(server_id, now)
+        leaving_s = now - self.draining.get(server_id, now)
         calm = self.is_calm(now) and self._is_core_calm(now)
         if calm and leaving_s > DRAIN_S:
             self.break_rule("DRAIN", f"{server_id} after {leaving_s:.3f}", now)
@@ -156,18 +156,18 @@
         if len(recent) > self.cold_per_s * COLD_OVERAGE + COLD_SLACK:
             self.break_rule("FAILBACK", f"{len(recent)} at {server_id}", now)
 
-    def on_leaving(self, server_id: str, now: float) -> None:
+    def on_draining(self, server_id: str, now: float) -> None:
         """Records that the store acknowledged that a server drains.
 
         A change that the store accepts while it is disturbed has no
         propagation deadline, so it is not recorded.
         """
         if self._is_core_calm(now):
-            self.leaving[server_id] = now
+            self.draining[server_id] = now
 
     def on_started(self, server_id: str) -> None:
         """Records that a server started; an earlier incarnation has exited."""
-        self.leaving.pop(server_id, None)
+        self.draining.pop(server_id, None)
 
     def _is_core_calm(self, now: float) -> bool:
         return now - self.core_disturbed_at >= CONTACT_S
@@ -199,7 +199,7 @@
         """Records the outcome of a request for its caller."""
         tally = self.tallies[workload.name]
         if outcome == "answered":
-            outcome = "in_time" if latency_s <= workload.aim_s else "late"
+            outcome = "in_time" if latency_s <= workload.objective_s else "late"
             tally.latency.record_value(max(1, int(latency_s * 1e6)))
         setattr(tally, outcome, getattr(tally, outcome) + 1)
         ending = Ending(asked_at, zone, workload.name, outcome, latency_s)
--- a/notchhoist/testing/opaque/published.py
+++ b/notchhoist/testing/opaque/published.py
@@ -86,7 +86,7 @@
         "path_prefix": f"/{workload.port}/",
         "kind": workload.kind,
         "timeout_ms": int(workload.deadline_s * 1000),
-        "target_latency_ms": int(workload.aim_s * 1000),
+        "target_latency_ms": int(workload.objective_s * 1000),
         "priority": workload.priority,
         "max_attempts": 2,
     }
--- a/notchhoist/testing/opaque/restores.py
+++ b/notchhoist/testing/opaque/restores.py
@@ -156,7 +156,7 @@
             outage_s: Length of the outage, seconds.
         """
         world = self.world
-        backup = world.store.copy()
+        backup = world.store.backup()
 
         def begin_outage() -> None:
             world.judge.disturb(world.now)
@@ -248,7 +248,7 @@
             with each restore.
     """
     world = make_world(seed)
-    world.store.names_era = names_era
+    world.store.sends_era = names_era
     start_traffic(world, WARM_UP_S + SECONDS)
     run = RandomRun(world, random.Random(seed))
     run.plan()
--- a/notchhoist/testing/opaque/scenarios.py
+++ b/notchhoist/testing/opaque/scenarios.py
@@ -115,7 +115,7 @@
     written again. The store's revisions therefore pass those that balancers
     know just as the servers announce that they drain.
     """
-    backup = world.store.copy()
+    backup = world.store.backup()
     for version in (2, 3, 4):
         world.later(0.2 * version, partial(world.publish, version))
     restore = partial(troubles.restore_store, world, backup, 4, 1.5)
--- a/notchhoist/testing/opaque/store.py
+++ b/notchhoist/testing/opaque/store.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class StoreCopy:
+class StoreBackup:
     """A backup of the store.
 
     Attributes:
@@ -54,7 +54,7 @@
         resent_share: Share of responses that are lost once and retransmitted;
             a calm network has this too.
         era: Period between two restores from a backup, counted from 1.
-        names_era: Responses have the header with the era.
+        sends_era: Responses have the header with the era.
         down: ``""``, ``silent``, ``busy`` (503), ``many`` (429) or ``reset``.
         down_for: IP numbers of the hosts that it is down for; empty for all.
         lost_share: Share of responses that are lost.
@@ -72,7 +72,7 @@
     answer_s: float = 0.004
     resent_share: float = 0.0
     era: int = 1
-    names_era: bool = True
+    sends_era: bool = True
     down: str = ""
     down_for: frozenset[str] = frozenset()
     lost_share: float = 0.0
@@ -119,32 +119,32 @@
             self.compacted_to = self.revision
             self.history.clear()
 
-    def copy(self) -> StoreCopy:
+    def backup(self) -> StoreBackup:
         """Returns a backup of the store."""
         with self.lock:
-            return StoreCopy(
+            return StoreBackup(
                 dict(self.items),
                 self.revision,
                 list(self.history),
                 self.compacted_to,
             )
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, backup: StoreBackup) -> None:
         """Restores a backup and begins a new era.
 
         Later changes are lost, and their revisions are assigned again to
         other changes.
         """
         with self.lock:
-            self.items = dict(copy.items)
-            self.revision = copy.revision
-            self.history = list(copy.history)
-            self.compacted_to = copy.compacted_to
+            self.items = dict(backup.items)
+            self.revision = backup.revision
+            self.history = list(backup.history)
+            self.compacted_to = backup.compacted_to
             self.era += 1
 
     def headers(self) -> dict[str, str]:
         """Returns the headers of a response, names in lower case."""
-        return {"store-era": str(self.era)} if self.names_era else {}
+        return {"store-era": str(self.era)} if self.sends_era else {}
 
     def trouble_for(self, host: str) -> str:
         """Returns the fault that a host's request meets, or an empty string."""
@@ -194,9 +194,9 @@
         ]
         if not events:
             return 200, None
-        return 200, self.no_changes(events)
+        return 200, self.watch_body(events)
 
-    def no_changes(
+    def watch_body(
         self, events: list[dict[str, object]] | None = None
     ) -> bytes:
         """Returns the response body of a watch; without events by default."""
--- a/notchhoist/testing/opaque/store_link.py
+++ b/notchhoist/testing/opaque/store_link.py
@@ -89,7 +89,7 @@
             else:
                 query = dict(parse_qsl(urlsplit(call.target).query))
                 status, body = self.world.store.read_changes(query)
-                body = self.world.store.no_changes() if body is None else body
+                body = self.world.store.watch_body() if body is None else body
                 headers = self.world.store.headers()
                 feeder.on_confirmation(status, body, now, headers)
             self.world.perform(host, feeder.node.take_effects())
@@ -120,7 +120,7 @@
                 ),
             )
             return
-        body = self.world.store.no_changes() if changes is None else changes
+        body = self.world.store.watch_body() if changes is None else changes
         if not self.world.store.trouble_for(host.ip):
             self._send(host, generation, number, status, body)
 
--- a/notchhoist/testing/opaque/tests/hard_load.py
+++ b/notchhoist/testing/opaque/tests/hard_load.py
@@ -38,7 +38,12 @@
         Workload(
             *(item.name, item.kind, item.service, item.port),
             item.per_s * load,
-            *(item.work_ms, item.request_bytes, item.answer_bytes, item.aim_s),
+            *(
+                item.work_ms,
+                item.request_bytes,
+                item.answer_bytes,
+                item.objective_s,
+            ),
             *(item.deadline_s, item.priority, item.worth, item.late_worth),
         )
         for item in (LISTING, BOOKING)
--- a/notchhoist/testing/opaque/tests/test_leaving.py
+++ b/notchhoist/testing/opaque/tests/test_leaving.py
@@ -38,7 +38,7 @@
     host = next(host for host in world.hosts.values() if host.service)
     troubles.retire(world, host)
     server_id = host.server.server_id
-    assert server_id in world.judge.leaving
+    assert server_id in world.judge.draining
     world.start_server(host, server_id=server_id)
     world.judge.on_opening(server_id, host.zone, cold=False, now=99.0)
     assert not world.judge.broken
--- a/notchhoist/testing/opaque/tests/test_store_from_a_copy.py
+++ b/notchhoist/testing/opaque/tests/test_store_from_a_copy.py
@@ -27,7 +27,7 @@
 
 def test_servers_that_drain_after_a_restore_get_no_new_flows():
     world = simulate("store-from-a-copy", seed=7, seconds=SECONDS)
-    assert len(world.judge.leaving) == 2
+    assert len(world.judge.draining) == 2
     assert not world.judge.broken
 
 
--- a/notchhoist/testing/opaque/traffic.py
+++ b/notchhoist/testing/opaque/traffic.py
@@ -20,7 +20,7 @@
         work_ms: Mean time that a request runs, ms.
         request_bytes: Size of a request.
         answer_bytes: Size of an answer.
-        aim_s: Latency objective, seconds.
+        objective_s: Latency objective, seconds.
         deadline_s: Time until the caller abandons a request, seconds.
         priority: Priority, 0 for the highest.
         worth: Credit for an answer within the objective.
@@ -37,7 +37,7 @@
     work_ms: float
     request_bytes: int
     answer_bytes: int
-    aim_s: float
+    objective_s: float
     deadline_s: float
     priority: int = 2
     worth: float = 1.0
--- a/notchhoist/testing/opaque/troubles.py
+++ b/notchhoist/testing/opaque/troubles.py
@@ -6,8 +6,8 @@
 
 from notchhoist.flows.agent.node import AgentNode
 from notchhoist.flows.balancer.node import BalancerNode
-from notchhoist.testing.opaque.hosts import START_S, Host
-from notchhoist.testing.opaque.store import StoreCopy
+from notchhoist.testing.opaque.hosts import HOST_START_S, Host
+from notchhoist.testing.opaque.store import StoreBackup
 from notchhoist.testing.opaque.world import OpaqueWorld
 
 HEARTBEAT_S = 1.2
@@ -18,7 +18,7 @@
 """How long a stopping balancer goes on forwarding, seconds."""
 
 
-def kill(world: OpaqueWorld, host: Host, for_s: float = START_S) -> None:
+def kill(world: OpaqueWorld, host: Host, for_s: float = HOST_START_S) -> None:
     """Kills a host's process, which restarts after a while."""
     world.judge.disturb(world.now)
     host.node = None
@@ -46,7 +46,7 @@
 
 def power_off(world: OpaqueWorld, host: Host, for_s: float) -> None:
     """Cuts a host's power; when it returns, everything on it restarts."""
-    kill(world, host, for_s + START_S)
+    kill(world, host, for_s + HOST_START_S)
     host.dark = True
     world.later(for_s, lambda: setattr(host, "dark", False))
     if host.server is not None:
@@ -67,7 +67,7 @@
 def _finish_drain(world: OpaqueWorld, host: Host) -> None:
     host.node = None
     host.generation += 1
-    world.later(START_S, lambda: world.start(host))
+    world.later(HOST_START_S, lambda: world.start(host))
 
 
 def stop_agent(world: OpaqueWorld, host: Host, down_s: float) -> None:
@@ -108,7 +108,7 @@
         return
     server.draining = True
     world.announce(host, server)
-    world.judge.on_leaving(server.server_id, world.now)
+    world.judge.on_draining(server.server_id, world.now)
 
     def remove_host() -> None:
         server.alive = False
@@ -195,7 +195,7 @@
 
 
 def restore_store(
-    world: OpaqueWorld, backup: StoreCopy, version: int, outage_s: float
+    world: OpaqueWorld, backup: StoreBackup, version: int, outage_s: float
 ) -> None:
     """Makes the store unavailable, then restores it from a backup.
 
--- a/notchhoist/testing/rehearsal.py
+++ b/notchhoist/testing/rehearsal.py
@@ -14,7 +14,7 @@
 
 from notchhoist import controllers, model
 from notchhoist.testing.caller import Task
-from notchhoist.testing.chaos import trust_first_start
+from notchhoist.testing.chaos import assume_complete_memory
 from notchhoist.testing.deployment import ServicePlan, build_world
 from notchhoist.testing.history import Result
 from notchhoist.testing.world import World
@@ -40,8 +40,8 @@
         latencies: Latency of answers by kind, microseconds.
         refusal_latencies: Time to a refusal, microseconds.
         imbalance: Maximum over mean of slot utilization, averaged over time.
-        over: Number of samples in which a server ran more requests than it
-            has slots.
+        overfull_samples: Number of samples in which a server ran more requests
+            than it has slots.
         violations: Number of broken guarantees.
     """
 
@@ -53,7 +53,7 @@
         lambda: HdrHistogram(1, MAX_LATENCY_US, 2)
     )
     imbalance: float = 0.0
-    over: int = 0
+    overfull_samples: int = 0
     violations: int = 0
 
     def latency_ms(self, kind: str, percentile: float) -> float:
@@ -64,13 +64,13 @@
         return histogram.get_value_at_percentile(percentile) / 1000
 
 
-def run_night(
+def run_load_test(
     plan: ServicePlan,
     load: float,
     seconds: float,
     seed: int,
     adapt: Adapt | None = None,
-    odd: bool = True,
+    with_faulty_servers: bool = True,
 ) -> LoadTestFigures:
     """Runs a load test and returns its figures.
 
@@ -80,8 +80,8 @@
         seconds: How long callers arrive, seconds.
         seed: Seed of all random numbers.
         adapt: Called with each node at its start, to change it.
-        odd: Whether one server starts cold, one sheds requests and one
-            reports a false load.
+        with_faulty_servers: Whether one server starts cold, one sheds requests
+            and one reports a false load.
 
     Returns:
         The figures.
@@ -92,9 +92,9 @@
     plan = attrs.evolve(plan, kinds=kinds)
     world = World(random.Random(seed), adapt=adapt)
     build_world(world, (plan,), memory_s=67.0, service_s=SERVICE_S)
-    trust_first_start(world)
+    assume_complete_memory(world)
     world.run(2.0)
-    if odd:
+    if with_faulty_servers:
         _make_servers_faulty(world)
     schedule_arrivals(world, plan, load, seconds)
     figures = LoadTestFigures()
@@ -158,7 +158,7 @@
     taken = []
     for backend in world.backends.values():
         slots = backend.profile.slots
-        figures.over += len(backend.in_progress) > slots
+        figures.overfull_samples += len(backend.in_progress) > slots
         taken.append(len(backend.in_progress) / slots)
     mean = sum(taken) / len(taken)
     return max(taken) / mean if mean else 1.0
--- a/notchhoist/testing/soak/store_port.py
+++ b/notchhoist/testing/soak/store_port.py
@@ -24,7 +24,7 @@
         if body is not None:
             return status, body
         if time.monotonic() >= ends_at or stopping.wait(POLL_S):
-            return 200, model.no_changes()
+            return 200, model.watch_body()
 
 
 @contextlib.contextmanager
--- a/notchhoist/testing/soak/store_troubles.py
+++ b/notchhoist/testing/soak/store_troubles.py
@@ -3,7 +3,7 @@
 import random
 from functools import partial
 
-from notchhoist.testing.opaque.store import StoreCopy
+from notchhoist.testing.opaque.store import StoreBackup
 from notchhoist.testing.soak.daemons import Daemon
 from notchhoist.testing.soak.fleet import ENTRY_LEASE_S, Fleet
 from notchhoist.testing.soak.healing import Heal, heal_nothing, sample_share
@@ -86,7 +86,7 @@
 
 def store_restored(fleet: Fleet, rng: random.Random) -> Heal:
     """Restores the store from a backup taken when the trouble began."""
-    backup = fleet.store.copy()
+    backup = fleet.store.backup()
     outage_s = rng.uniform(*OUTAGE_S)
     state = rng.choice((StreamState.RESET, StreamState.SILENT))
 
@@ -108,7 +108,7 @@
 
 
 def _repeat_lost_writes(
-    fleet: Fleet, backup: StoreCopy, rng: random.Random
+    fleet: Fleet, backup: StoreBackup, rng: random.Random
 ) -> None:
     """Makes all writers repeat what the backup lacks.
 
--- a/notchhoist/testing/soak/troubles.py
+++ b/notchhoist/testing/soak/troubles.py
@@ -234,7 +234,7 @@
             continue
         server.draining = True
         server_host.draining_since = fleet.loop.clock()
-        fleet.judge.on_leaving(server.server_id, server_host.draining_since)
+        fleet.judge.on_draining(server.server_id, server_host.draining_since)
         fleet.announce(server_host)
         fleet.loop.call_later(
             DRAIN_TIME_S, partial(_exit_drained, fleet, server_host)
--- a/notchhoist/testing/tests/test_stand_ins.py
+++ b/notchhoist/testing/tests/test_stand_ins.py
@@ -7,7 +7,7 @@
 
 from notchhoist import model, wire
 from notchhoist.testing.backend import BackendModel, BackendProfile
-from notchhoist.testing.history import History, Result, Started, Told
+from notchhoist.testing.history import FinalResult, History, Result, Started
 from notchhoist.testing.platform_service import PlatformState
 
 SOURCE = model.Endpoint("127.0.0.1", 9)
@@ -106,7 +106,7 @@
 
 
 def told(result, payload):
-    return Told(1.0, "s", "b1", result, payload, 0.1, "booking")
+    return FinalResult(1.0, "s", "b1", result, payload, 0.1, "booking")
 
 
 def test_history_check_finds_each_broken_guarantee():
--- a/notchhoist/testing/world.py
+++ b/notchhoist/testing/world.py
@@ -147,7 +147,7 @@
         """Pauses the node of a host for some seconds.
 
         Incoming events are queued until it resumes. Unless
-        ``keeps_backlog`` is set, a node drops them if its last tick was
+        ``handles_stale_backlog`` is set, a node drops them if its last tick was
         longer than ``STALE_BACKLOG_S`` ago, except for responses of the
         platform.
         """
@@ -164,7 +164,7 @@
         held, host.unsent_effects = host.unsent_effects, []
         self._perform(host, held)
         is_stale = self.now - host.last_tick > STALE_BACKLOG_S
-        if is_stale and not host.keeps_backlog:
+        if is_stale and not host.handles_stale_backlog:
             waited = [
                 event
                 for event in waited
--- a/notchhoist/testing/world_host.py
+++ b/notchhoist/testing/world_host.py
@@ -25,8 +25,8 @@
         last_tick: Time of the last tick, seconds.
         unsent_effects: Effects not performed before a pause began; they are
             performed when the node resumes.
-        keeps_backlog: Whether the node handles its whole backlog after any
-            pause, as does a process that does not check the clock.
+        handles_stale_backlog: Whether the node handles its whole backlog after
+            any pause, as does a process that does not check the clock.
     """
 
     name: str
@@ -38,4 +38,4 @@
     backlog: list[model.Event] = attrs.Factory(list)
     unsent_effects: list[model.Effect] = attrs.Factory(list)
     last_tick: float = 0.0
-    keeps_backlog: bool = False
+    handles_stale_backlog: bool = False
