--- a/notchhoist/__init__.py
+++ b/notchhoist/__init__.py
@@ -1,4 +1,8 @@
-"""notchhoist: a layer-4 load balancer that tracks request outcomes.
+"""notchhoist: a layer-4 load balancer responsible for the outcomes of requests.
+
+It is responsible to the caller for the outcome of each request: a request is
+answered, refused or reported as not run, and one that must not repeat runs at
+most once.
 
 The package is layered; each subpackage imports only those above it:
 
--- a/notchhoist/flows/balancer/confirming.py
+++ b/notchhoist/flows/balancer/confirming.py
@@ -11,7 +11,7 @@
 from notchhoist.flows.model.records import Count
 
 CONFIRM_INTERVAL_S = 0.2
-"""Minimum time between two confirmations, seconds. Each call has a price; after
+"""Minimum time between two confirmations, seconds. Each call has a cost; after
 a complete outage a balancer needs them for about two seconds."""
 
 CONFIRM_BACKOFF_S = 0.2
--- a/notchhoist/flows/published/fleet_updater.py
+++ b/notchhoist/flows/published/fleet_updater.py
@@ -148,15 +148,16 @@
             unchanged = entry == replace(server.entry, created=entry.created)
         if not board.view.put_server(entry, revision):
             return False
-        reborn = server is not None and not server.entry.is_same_incarnation_as(
-            entry
+        restarted = (
+            server is not None
+            and not server.entry.is_same_incarnation_as(entry)
         )
-        if server is not None and reborn:
+        if server is not None and restarted:
             self._start_incarnation(server, entry, now)
             server = None
         if server is None:
             server = Server(entry, service_tag(entry.service), 0.0)
-            server.is_restart = reborn
+            server.is_restart = restarted
             server.first_seen_cold = entry.warm_in_s > 0
             board.servers[entry.server_id] = server
             self.servers_by_host.setdefault(entry.host, []).append(server)
--- a/notchhoist/flows/published/view_sync.py
+++ b/notchhoist/flows/published/view_sync.py
@@ -46,8 +46,8 @@
 
 STORE_RETRY_S = 5.0
 """Time between attempts of a balancer to read a store that does not answer it,
-while others keep its view up to date, seconds. Each call costs money, refused
-ones too."""
+while others keep its view up to date, seconds. Each call has a cost, also a
+refused one."""
 
 GAP_QUERY_INTERVAL_S = 0.1
 """Least time between two queries for missing changes, seconds."""
--- a/notchhoist/platform/calls.py
+++ b/notchhoist/platform/calls.py
@@ -21,7 +21,7 @@
 """Timeout of a listing while the process has no state, seconds, and how many
 consecutive calls have it. A process without state serves no requests, so it
 retries soon. The call after these has the longer timeout that a slow store
-needs; each call has a price."""
+needs; each call has a cost."""
 
 LISTING_FIRST_S = 0.5
 LISTING_MAX_S = 4.0
@@ -33,7 +33,7 @@
 PAUSE_FIRST_S = 0.1
 PAUSE_MAX_S = 1.0
 """Bounds of the back-off after a failed call, seconds; it doubles with each
-failure. Refused calls have a price too. The upper bound of 1 s is a third of
+failure. Refused calls have a cost too. The upper bound of 1 s is a third of
 the propagation deadline of a configuration."""
 
 BATCHING_PAUSE_S = 0.25
--- a/notchhoist/testing/opaque/traffic.py
+++ b/notchhoist/testing/opaque/traffic.py
@@ -60,7 +60,7 @@
         *(0.503, 5.0),
     ),
 )
-"""Requests of the music trust, a team, at two thirds of their usual rate."""
+"""Requests of the music trust at two thirds of their usual rate."""
 
 
 @attrs.frozen
